--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -77,7 +77,7 @@
 }
 
 // What waits for a patient route makes the others wait too.
-func TestWaitsAreKeptWithinTheStrictestTarget(t *testing.T) {
+func TestWaitLimitFollowsStrictestTarget(t *testing.T) {
 	b := routing.Builder{Number: 1, Services: []*routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, MemoryTokens: 200_000}}}}
 	for i, ms := range []int{1000, 600, 800} {
 		b.Routes = append(b.Routes, &routing.Route{Name: fmt.Sprint(i), Prefix: "/", Timeout: time.Second, Target: time.Duration(ms) * time.Millisecond,
@@ -95,7 +95,7 @@
 
 // A stream whose upstream broke was refused another
 // for the wait there, and cut.
-func TestBegunRequestsAreNotRefusedForTheWait(t *testing.T) {
+func TestRetriedRequestIsNotRefusedForTheWait(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	f.arrive(id, 1, engines, "a", 500)
@@ -113,7 +113,7 @@
 
 // Two organisations were both so far over their
 // shares that they might wait equally long, and the one that sent more got most.
-func TestOfTwoFarOverTheFartherWaitsLess(t *testing.T) {
+func TestWaitLimitFallsWithUseBeyondShare(t *testing.T) {
 	p := newPool(&routing.Service{Name: "s", Engine: &routing.Engine{Slots: 64, MemoryTokens: 200_000}}, 1000)
 	for org := range uint32(10) {
 		p.meter.addRequest(version.ID(org+1), 10_000, start)
@@ -131,7 +131,7 @@
 
 // Where routes of one service differ in priority, the more urgent ones are served
 // more often when there is not room for all.
-func TestUrgentRequestsWaitLongerThanOthers(t *testing.T) {
+func TestUrgentRequestsMayWaitLonger(t *testing.T) {
 	one := 1
 	b := routing.Builder{Number: 2, Services: []*routing.Service{{Name: engines, Engine: &routing.Engine{Slots: 64, MemoryTokens: 200_000}}, {Name: counter}}}
 	for i, priority := range []int{0, 2} {
@@ -158,7 +158,7 @@
 
 // However far an organisation is over its share, it is served while an engine has
 // nothing to read, whatever that costs.
-func TestIdleEngineTakesWhoeverIsOverItsShare(t *testing.T) {
+func TestIdleEngineAcceptsOrganisationOverItsShare(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	id := f.order[0]
 	p := f.nodes[id].pools[serviceID(engines)]
@@ -176,7 +176,7 @@
 
 // Engines served two fifths of what was stated, nobody came to its share, and all were
 // allowed the same wait: the flood kept it at that limit for everyone.
-func TestWhoHasHadMoreOfItsShareMayWaitLess(t *testing.T) {
+func TestWaitRatioFallsTowardsShare(t *testing.T) {
 	last := maxWaitRatio
 	assert.Equal(t, last, waitRatio(0))
 	for over := 0.05; over < 5; over += 0.05 {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -18,7 +18,7 @@
 
 // The scheduler placed requests of a router at an upstream that had asked that router for
 // rest.
-func TestRestBindsTheRouterThatWasAskedAndNoOther(t *testing.T) {
+func TestBackoffAppliesOnlyToTheRouterThatReceivedIt(t *testing.T) {
 	for _, service := range []string{engines, counter} {
 		f := newFleet(t, 3, 2)
 		first, second := "e0", "e1"
@@ -61,7 +61,7 @@
 }
 
 // A request that failed elsewhere was sent to the upstream that rests.
-func TestRepeatIsNotSentToAnUpstreamThatWantsRest(t *testing.T) {
+func TestRetryAvoidsUpstreamInBackoff(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
 	f.retryAfter(id, "e0", 3*time.Second)
@@ -76,7 +76,7 @@
 }
 
 // Of upstreams that all wanted rest one was tried rather than none.
-func TestServiceWhoseUpstreamsAllRestIsRefusedUntilTheFirstIsBack(t *testing.T) {
+func TestAllUpstreamsInBackoffRefuseUntilTheFirstExpires(t *testing.T) {
 	for _, service := range []string{engines, counter} {
 		f := newFleet(t, 3, 2)
 		id := f.other()
@@ -96,7 +96,7 @@
 }
 
 // The scheduler's answer was on its way when the upstream asked for rest.
-func TestPlacementOnAnUpstreamThatHasSinceAskedForRestIsNotUsed(t *testing.T) {
+func TestPlacementReplyIsRejectedDuringBackoff(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	id := f.other()
 	p := f.nodes[id].pools[serviceID(engines)]
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestRestOfAnUpstreamThatHasEndedIsForgotten(t *testing.T) {
+func TestBackoffOfRemovedUpstreamIsForgotten(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	id := f.order[0]
 	f.retryAfter(id, "e0", time.Hour)
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -24,7 +24,7 @@
 // One organisation floods engines that read little of the time: it gets what is over.
 // Once they read more than half, it gets no more, though no engine has a queue; who is
 // under its share does.
-func TestFloodSlowsNobodyBeyondHalfOfTheReading(t *testing.T) {
+func TestFloodIsRefusedWhileEnginesAreBusy(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	p := f.nodes[id].pools[serviceID(engines)]
--- a/internal/dispatch/conns_test.go
+++ b/internal/dispatch/conns_test.go
@@ -24,7 +24,7 @@
 }
 
 // Of two engines that are alike, a request goes where its router keeps a connection.
-func TestKeptConnectionsAreUsed(t *testing.T) {
+func TestKeptConnectionsArePreferred(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	p := f.nodes[id].pools[serviceID(engines)]
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -18,7 +18,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-const guilty fingerprint.Fingerprint = 0xdead
+const crashingRequest fingerprint.Fingerprint = 0xdead
 
 // broke ends an attempt at an engine without an answer.
 func (f *fleet) broke(id wire.NodeID, c fingerprint.Fingerprint, inst routing.Instance, lost bool) {
@@ -45,7 +45,7 @@
 	return f.stateAt(id, c).Held(f.now) > 0
 }
 
-func (f *fleet) holders(c fingerprint.Fingerprint) int {
+func (f *fleet) holdingRouters(c fingerprint.Fingerprint) int {
 	n := 0
 	for _, id := range f.order {
 		if f.holds(id, c) {
@@ -56,31 +56,31 @@
 }
 
 // Three routers see one crash each; all know that it is the third within two ticks.
-func TestThirdCrashIsKnownToAllAtOnce(t *testing.T) {
+func TestThirdCrashHoldsRequestFleetWide(t *testing.T) {
 	f := newFleet(t, 6, 5)
 	list := instances(5)
 	for i := range quarantine.HoldAfter {
-		assert.Zero(t, f.holders(guilty))
-		f.crash(f.order[i], guilty, list[i])
+		assert.Zero(t, f.holdingRouters(crashingRequest))
+		f.crash(f.order[i], crashingRequest, list[i])
 		f.run(2 * TickEvery)
 	}
-	assert.Equal(t, len(f.order), f.holders(guilty))
+	assert.Equal(t, len(f.order), f.holdingRouters(crashingRequest))
 }
 
 // A doubt alone proves nothing: answers are lost, cut, and given up by their callers.
-func TestAttemptsWithoutAnAnswerProveNothing(t *testing.T) {
+func TestUnansweredAttemptsAloneHoldNothing(t *testing.T) {
 	f := newFleet(t, 3, 9)
 	list := instances(9)
 	for i := range 9 {
-		f.broke(f.order[i%3], guilty, list[i], true)
+		f.broke(f.order[i%3], crashingRequest, list[i], true)
 		f.run(2 * TickEvery)
 	}
 	f.run(5 * time.Second)
-	assert.Zero(t, f.stateAt(f.order[0], guilty).Crashes)
+	assert.Zero(t, f.stateAt(f.order[0], crashingRequest).Crashes)
 }
 
 // When connections tell nothing, the upstream's entry goes some seconds later.
-func TestEntryThatGoesIsACrashUnlessItWasLeaving(t *testing.T) {
+func TestRemovedEntryIsACrashUnlessDraining(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		f := newFleet(t, 1, 4)
 		id := f.order[0]
@@ -90,18 +90,18 @@
 				all[i].Draining = true
 				f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: all, Revision: 6, AsOf: 9}, f.now)
 			}
-			f.broke(id, guilty, all[i], false)
+			f.broke(id, crashingRequest, all[i], false)
 			f.run(3600 * time.Millisecond)
 			f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: all[i+1:], Revision: uint64(7 + i), AsOf: uint64(10 + i)}, f.now)
 		}
 		f.run(2 * TickEvery)
-		assert.Equal(t, !draining, f.holds(id, guilty), "draining %v", draining)
+		assert.Equal(t, !draining, f.holds(id, crashingRequest), "draining %v", draining)
 	}
 }
 
 // An upstream that is leaving ends what it still runs when its time is over, after its
 // entry has gone.
-func TestStreamCutByAnUpstreamThatHasLeftProvesNothing(t *testing.T) {
+func TestStreamCutByDrainedUpstreamIsNoCrash(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	list := instances(2)
@@ -109,21 +109,21 @@
 	f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: list, Revision: 6, AsOf: 9}, f.now)
 	f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: list[1:], Revision: 7, AsOf: 10}, f.now)
 	f.run(2 * time.Second)
-	f.crash(id, guilty, list[0])
-	assert.Zero(t, f.stateAt(id, guilty).Crashes)
+	f.crash(id, crashingRequest, list[0])
+	assert.Zero(t, f.stateAt(id, crashingRequest).Crashes)
 }
 
 // The connection may tell an upstream's end later than the store does.
-func TestAttemptThatBreaksAfterTheEndIsKnownCounts(t *testing.T) {
+func TestAttemptBrokenAfterUpstreamEndCounts(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	id := f.order[0]
 	f.nodes[id].Step(ConnRefused{Instance: instances(4)[0]}, f.now)
 	f.run(time.Second)
-	f.broke(id, guilty, instances(4)[0], false)
-	assert.Equal(t, 1, f.stateAt(id, guilty).Crashes)
+	f.broke(id, crashingRequest, instances(4)[0], false)
+	assert.Equal(t, 1, f.stateAt(id, crashingRequest).Crashes)
 }
 
-func TestOneLookAtAnUpstreamIsEnough(t *testing.T) {
+func TestUpstreamIsProbedOnce(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	n := f.nodes[f.order[0]]
 	probes := 0
@@ -139,118 +139,118 @@
 }
 
 // One datagram in ten is lost, as on a bad link.
-func TestNewsOfACrashSurviveLostDatagrams(t *testing.T) {
+func TestCrashReportsSurviveDatagramLoss(t *testing.T) {
 	f := newFleet(t, 8, 5)
 	list := instances(5)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	f.lose = func() bool { return rnd.IntN(10) == 0 }
 	for i := range quarantine.HoldAfter {
-		f.crash(f.order[i], guilty, list[i])
+		f.crash(f.order[i], crashingRequest, list[i])
 	}
 	f.run(350 * time.Millisecond)
-	assert.Equal(t, len(f.order), f.holders(guilty))
+	assert.Equal(t, len(f.order), f.holdingRouters(crashingRequest))
 }
 
 // Each side of a cut counts by itself. When it heals, what either side saw is joined:
 // nothing is added twice, nothing is lost.
-func TestSidesOfACutJoinWhatTheyHold(t *testing.T) {
+func TestPartitionSidesMergeHeldRequests(t *testing.T) {
 	f := newFleet(t, 4, 8)
 	list := instances(8)
 	away := f.order[3]
 	f.cut[away] = true
 	for i := range quarantine.HoldAfter {
-		f.crash(f.order[i], guilty, list[i])
+		f.crash(f.order[i], crashingRequest, list[i])
 	}
 	f.run(3 * time.Second)
-	assert.False(t, f.holds(away, guilty))
-	assert.Equal(t, 3, f.holders(guilty))
-	f.crash(away, guilty, list[0])
-	f.crash(away, guilty, list[5])
+	assert.False(t, f.holds(away, crashingRequest))
+	assert.Equal(t, 3, f.holdingRouters(crashingRequest))
+	f.crash(away, crashingRequest, list[0])
+	f.crash(away, crashingRequest, list[5])
 	f.cut[away] = false
 	f.run(3 * time.Second)
-	assert.Equal(t, 4, f.holders(guilty))
-	assert.LessOrEqual(t, f.stateAt(away, guilty).Crashes, 4, "the engine that both saw crash counts once")
+	assert.Equal(t, 4, f.holdingRouters(crashingRequest))
+	assert.LessOrEqual(t, f.stateAt(away, crashingRequest).Crashes, 4, "the engine that both saw crash counts once")
 }
 
 // A router that starts again knows nothing; it holds what the others hold before it is
 // ready for callers.
-func TestRouterThatStartsAgainLearnsWhatIsHeld(t *testing.T) {
+func TestRestartedRouterLearnsHeldRequests(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	for i := range quarantine.HoldAfter {
-		f.crash(f.order[i], guilty, instances(8)[i])
+		f.crash(f.order[i], crashingRequest, instances(8)[i])
 	}
 	f.run(time.Second)
 	id := f.order[1]
 	f.nodes[id] = New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{f.order[0]}, Retry: DefaultRetryRules, Seed: 9}, f.now)
 	f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: instances(8), Revision: 5, AsOf: 9}, f.now)
 	f.run(beatEvery + 2*TickEvery)
-	assert.True(t, f.holds(id, guilty))
+	assert.True(t, f.holds(id, crashingRequest))
 }
 
 // One that starts twice within a second is told each time, with the answer to its first
 // words: callers that know its address come before the balancer sends any.
-func TestRouterThatStartsTwiceIsToldTwice(t *testing.T) {
+func TestTwiceRestartedRouterLearnsHeldRequests(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	for i := range quarantine.HoldAfter {
-		f.crash(f.order[i], guilty, instances(8)[i])
+		f.crash(f.order[i], crashingRequest, instances(8)[i])
 	}
 	f.run(time.Second)
 	id := f.order[1]
 	for inc := range wire.Incarnation(2) {
 		f.nodes[id] = New(Settings{ID: id, Inc: 2 + inc, Place: "p", Seeds: []wire.NodeID{f.order[0]}, Retry: DefaultRetryRules, Seed: 9}, f.now)
 		f.run(2 * TickEvery)
-		assert.True(t, f.holds(id, guilty), "start %d", inc)
+		assert.True(t, f.holds(id, crashingRequest), "start %d", inc)
 		f.run(100 * time.Millisecond)
 	}
 }
 
 // The same in a fleet where only some routers tell everyone, in turn.
-func TestLargeFleetHoldsWhatThreeRoutersSaw(t *testing.T) {
+func TestLargeFleetSharesHeldRequests(t *testing.T) {
 	f := newFleet(t, meshUpTo+8, 8)
 	for i := range quarantine.HoldAfter {
-		f.crash(f.order[i], guilty, instances(8)[i])
+		f.crash(f.order[i], crashingRequest, instances(8)[i])
 		f.run(2 * TickEvery)
 	}
-	assert.Equal(t, len(f.order), f.holders(guilty))
+	assert.Equal(t, len(f.order), f.holdingRouters(crashingRequest))
 	id := f.order[len(f.order)-1]
 	f.nodes[id] = New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{f.order[0]}, Retry: DefaultRetryRules, Seed: 9}, f.now)
 	f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: instances(8), Revision: 5, AsOf: 9}, f.now)
 	f.run(time.Second)
-	assert.True(t, f.holds(id, guilty))
+	assert.True(t, f.holds(id, crashingRequest))
 }
 
 // A request that is answered whole after all is not held, anywhere.
-func TestWholeAnswerIsToldToAll(t *testing.T) {
+func TestWholeAnswerClearsSuspicionFleetWide(t *testing.T) {
 	f := newFleet(t, 3, 8)
-	f.crash(f.order[0], guilty, instances(8)[0])
-	f.crash(f.order[1], guilty, instances(8)[1])
+	f.crash(f.order[0], crashingRequest, instances(8)[0])
+	f.crash(f.order[1], crashingRequest, instances(8)[1])
 	f.run(2 * TickEvery)
-	f.nodes[f.order[2]].Step(Answered{Content: guilty}, f.now)
+	f.nodes[f.order[2]].Step(Answered{Content: crashingRequest}, f.now)
 	f.run(2 * TickEvery)
-	f.crash(f.order[0], guilty, instances(8)[2])
+	f.crash(f.order[0], crashingRequest, instances(8)[2])
 	f.run(2 * TickEvery)
-	assert.Zero(t, f.holders(guilty))
-	assert.Equal(t, 1, f.stateAt(f.order[1], guilty).Crashes)
+	assert.Zero(t, f.holdingRouters(crashingRequest))
+	assert.Equal(t, 1, f.stateAt(f.order[1], crashingRequest).Crashes)
 }
 
 // Everyone of an organisation asks the same thing of a service. It is at three upstreams,
 // by three routers, when they lose power in the same moment: a request of which many were
 // answered is not refused to everyone for that.
-func TestRackThatLosesPowerHoldsNoPopularRequest(t *testing.T) {
+func TestRackOutageDoesNotHoldPopularRequest(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	list := instances(8)
 	began := f.now
 	f.run(200 * time.Millisecond)
 	for i, id := range f.order {
-		f.nodes[id].Step(Broke{Content: guilty, Org: "alpha", Instance: list[i], Began: began, Early: true, Lost: true}, f.now)
+		f.nodes[id].Step(Broke{Content: crashingRequest, Org: "alpha", Instance: list[i], Began: began, Early: true, Lost: true}, f.now)
 		f.nodes[id].Step(ConnRefused{Instance: list[i]}, f.now)
 	}
 	f.run(time.Second)
-	assert.Zero(t, f.holders(guilty))
-	f.nodes[f.order[1]].Step(Answered{Content: guilty}, f.now)
+	assert.Zero(t, f.holdingRouters(crashingRequest))
+	f.nodes[f.order[1]].Step(Answered{Content: crashingRequest}, f.now)
 	f.run(2 * TickEvery)
 	for _, id := range f.order {
-		assert.Zero(t, f.stateAt(id, guilty).Crashes)
+		assert.Zero(t, f.stateAt(id, crashingRequest).Crashes)
 	}
 }
 
@@ -310,7 +310,7 @@
 
 // A request that crashes ten engines in ten seconds, which it cannot any more, would
 // leave the engines that are sound as they are: what is believed of an engine ends with it.
-func TestCrashesLeaveSoundEnginesAsTheyAre(t *testing.T) {
+func TestCrashesDoNotAffectSoundEngines(t *testing.T) {
 	f := newFleet(t, 1, 12)
 	id := f.order[0]
 	n := f.nodes[id]
@@ -320,7 +320,7 @@
 		f.arrive(id, no, engines, "alpha", 5000)
 		placed := f.placed(id, no)
 		n.Step(End{ID: no, Event: wire.NoteFailed}, f.now)
-		f.crash(id, guilty, placed.Instance)
+		f.crash(id, crashingRequest, placed.Instance)
 		var left []routing.Instance
 		for _, inst := range all {
 			if inst.ID != placed.Instance.ID {
@@ -345,7 +345,7 @@
 // How long after a third crash each router holds the request, in a fleet of which three
 // datagrams in a hundred are lost; a router's own way to its requests adds a tick. The
 // operators' bound is three seconds.
-func TestHoldIsKnownFarUnderTheBound(t *testing.T) {
+func TestHoldPropagatesWithinBound(t *testing.T) {
 	const bound = 500 * time.Millisecond
 	for _, routers := range []int{8, 60} {
 		f := newFleet(t, routers, 8)
--- a/internal/dispatch/learnedmodel_test.go
+++ b/internal/dispatch/learnedmodel_test.go
@@ -12,7 +12,7 @@
 )
 
 // What the scheduler has learned of its engines is known to the router that follows it.
-func TestNextSchedulerKnowsTheEngines(t *testing.T) {
+func TestNextSchedulerInheritsEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.scheduler()
 	for no := uint64(1); no <= 60; no++ {
@@ -38,7 +38,7 @@
 
 // A router that has just started may be the scheduler at once: it knows its engines
 // with the first messages of the others.
-func TestRestartedSchedulerLearnsFromItsPeers(t *testing.T) {
+func TestRestartedSchedulerInheritsEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.scheduler()
 	heir := f.other()
@@ -54,7 +54,7 @@
 
 // A table without targets, sizes or a stated capacity still has a defined decision: nobody
 // is over a share, and a quarter of the time that is left stands for the target.
-func TestTableThatStatesNothingIsDecidedOn(t *testing.T) {
+func TestTableWithoutTargetsOrCapacity(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	f.nodes[id].Step(Catalogue{Table: table(t, 0), Instances: instances(2), Revision: 6, AsOf: 10}, f.now)
@@ -73,7 +73,7 @@
 
 // An engine whose first events come after an hour, or before they were asked for, is
 // not believed, and decisions go on.
-func TestNonsenseTimesAreNotBelieved(t *testing.T) {
+func TestImplausibleTimesAreNotLearned(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	id := f.order[0]
 	learner := f.nodes[id].pools[serviceID(engines)].learner
--- a/internal/dispatch/leastserved_test.go
+++ b/internal/dispatch/leastserved_test.go
@@ -12,13 +12,13 @@
 
 // Two organisations flood, one by a router that brings its requests more slowly: what was
 // over shares all went to the other one.
-func TestOfTwoThatWaitTheLeastServedGoesFirst(t *testing.T) {
+func TestLeastServedOrganisationGoesFirst(t *testing.T) {
 	m := newMeter(390_000)
 	now := start
 	for range shareSteps {
 		now = now.Add(shareStep)
-		m.addRequest(1, window, now)
-		m.addRequest(2, window, now)
+		m.addRequest(1, statedWindowTokens, now)
+		m.addRequest(2, statedWindowTokens, now)
 		m.addGrant(1, 40_000, now)
 		m.addGrant(2, 100_000, now)
 	}
@@ -26,20 +26,20 @@
 	assert.False(t, m.mustYield(1, now))
 	later := now.Add(minUnmetSeconds * time.Second)
 	for at := now; at.Before(later); at = at.Add(shareStep) {
-		m.addRequest(2, window, at)
+		m.addRequest(2, statedWindowTokens, at)
 	}
 	assert.False(t, m.mustYield(2, later), "who has stopped asking holds nobody back")
 }
 
 // A refusal for the share is told from one for the wait.
-func TestRefusalForTheShareSaysSo(t *testing.T) {
+func TestRefusalForShareHasItsOwnReason(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	p := f.nodes[id].pools[serviceID(engines)]
 	for range shareSteps {
 		f.run(shareStep)
-		p.meter.addRequest(version.IDOf("waits"), window, f.now)
-		p.meter.addRequest(version.IDOf("flood"), window, f.now)
+		p.meter.addRequest(version.IDOf("waits"), statedWindowTokens, f.now)
+		p.meter.addRequest(version.IDOf("flood"), statedWindowTokens, f.now)
 		p.meter.addGrant(version.IDOf("waits"), 60_000, f.now)
 		p.meter.addGrant(version.IDOf("flood"), 120_000, f.now)
 	}
@@ -54,26 +54,26 @@
 }
 
 // Whoever has only begun to ask for more than it gets is about to be served.
-func TestNobodyIsHeldBackForANewFlood(t *testing.T) {
+func TestNewFloodHoldsNobodyBack(t *testing.T) {
 	m := newMeter(390_000)
 	now := start
 	for range shareSteps {
 		now = now.Add(shareStep)
-		m.addRequest(2, window, now)
+		m.addRequest(2, statedWindowTokens, now)
 		m.addGrant(2, 100_000, now)
 	}
-	m.addRequest(1, 2*window, now)
+	m.addRequest(1, 2*statedWindowTokens, now)
 	assert.False(t, m.mustYield(2, now))
 }
 
 // An organisation asked for four times what it got in every second, and was not waited for:
 // in a step in which one of its large requests was served it had got what it asked.
-func TestWhoIsServedOnceInAStepStillWaits(t *testing.T) {
+func TestUnmetDemandIsSummedOverSeconds(t *testing.T) {
 	m := newMeter(390_000)
 	now := start
 	for step := range shareSteps {
 		now = now.Add(shareStep)
-		m.addRequest(2, window, now)
+		m.addRequest(2, statedWindowTokens, now)
 		m.addGrant(2, 200_000, now)
 		m.addRequest(1, 100_000, now)
 		if step%4 == 0 {
@@ -89,15 +89,15 @@
 // Of two organisations the one had had a third of its share and the other nine tenths, and
 // the first was refused for the wait as often as the other: each engine that came free went
 // to whoever came next, and the other one sent ten times as much.
-func TestWhileEnginesAreShortTheLeastServedGoesFirst(t *testing.T) {
+func TestLeastServedGoesFirstWhileEnginesUnderperform(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	p := f.nodes[f.order[0]].pools[serviceID(engines)]
 	m := p.meter
 	small, flood := version.IDOf("small"), version.IDOf("flood")
 	for range shareSteps {
 		f.run(shareStep)
-		m.addRequest(small, window, f.now)
-		m.addRequest(flood, 10*window, f.now)
+		m.addRequest(small, statedWindowTokens, f.now)
+		m.addRequest(flood, 10*statedWindowTokens, f.now)
 		m.addGrant(small, 0.3*m.capacity/2/shareSteps, f.now)
 		m.addGrant(flood, 0.9*m.capacity/2/shareSteps, f.now)
 	}
--- a/internal/dispatch/localdecision_test.go
+++ b/internal/dispatch/localdecision_test.go
@@ -13,7 +13,7 @@
 // small router, which refused most of them at its door. The scheduler did not know
 // of those, took the organisation for one that asked for little, and gave what was
 // left to another one.
-func TestWorkRefusedAtTheDoorCountsAsAskedFor(t *testing.T) {
+func TestShedWorkCountsAsDemand(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	sched := f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
@@ -31,7 +31,7 @@
 // A router that is late itself takes its
 // scheduler for silent, decides by its own model, and places two thirds of a
 // flood beyond the organisation's share; the scheduler never heard of it.
-func TestLateRouterPlacesNothingBeyondTheShare(t *testing.T) {
+func TestRouterWithoutSchedulerPlacesNothingOverShare(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id, sched := f.other(), f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
@@ -58,7 +58,7 @@
 }
 
 // What a router places by itself counts in the shares of the next scheduler.
-func TestOwnPlacementsCountInShares(t *testing.T) {
+func TestLocalPlacementsCountInShares(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id, sched := f.other(), f.scheduler()
 	f.cut[sched] = true
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -12,7 +12,7 @@
 
 // First events of a router short of processor came a second late. Every engine that had
 // one of its prompts seemed a second behind, and everyone was refused everywhere.
-func TestLateRoutersTimesAreNotTheEngines(t *testing.T) {
+func TestOverloadedRouterDoesNotSlowEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
 	f.nodes[id].Step(Strained{On: true}, f.now)
@@ -42,7 +42,7 @@
 }
 
 // A router that says that it is late makes what it has placed before doubtful too.
-func TestLatenessHoldsForWhatWasPlacedBefore(t *testing.T) {
+func TestOverloadMarksEarlierPlacementsSuspect(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	id := f.other()
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
@@ -59,7 +59,7 @@
 
 // What routers state of their own placements stood for a second and a half after engines
 // had read it.
-func TestStatedLoadIsWorkedOff(t *testing.T) {
+func TestStatedLoadDecays(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	n := f.nodes[f.order[0]]
 	p := n.pools[serviceID(engines)]
@@ -80,7 +80,7 @@
 }
 
 // A router whose answers came after 70 ms gave up on each of them after 45: it used none.
-func TestWaitForAnAnswerFollowsHowLongAnswersTake(t *testing.T) {
+func TestReplyTimeoutFollowsRoundTripTime(t *testing.T) {
 	var r roundTrip
 	assert.Equal(t, askGiveUp, r.timeout())
 	assert.Equal(t, askAgain, r.resendDelay())
@@ -99,7 +99,7 @@
 }
 
 // Answers to asks that were given up on tell how late answers are.
-func TestAnswersThatComeTooLateAreTimed(t *testing.T) {
+func TestLateRepliesUpdateRoundTripTime(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
 	n := f.nodes[id]
@@ -130,7 +130,7 @@
 }
 
 // A router that did not get to read took nine schedulers for silent in 0.6 s.
-func TestRouterThatHearsNobodyBlamesOne(t *testing.T) {
+func TestIsolatedRouterSuspectsOneScheduler(t *testing.T) {
 	f := newFleet(t, 6, 4)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
 	id := ranked[len(ranked)-1]
--- a/internal/dispatch/prefill/prefill_test.go
+++ b/internal/dispatch/prefill/prefill_test.go
@@ -20,7 +20,7 @@
 }
 
 // prompts draws sizes with a heavy tail; a third fetch what they do not keep.
-func prompts(rnd *rand.Rand, n int) []Prompt {
+func randomPrompts(rnd *rand.Rand, n int) []Prompt {
 	var out []Prompt
 	for range n {
 		read, kept, fetched := int(math.Exp(4+6*rnd.Float64())), rnd.IntN(8000), 0
@@ -36,11 +36,11 @@
 // enough, whatever the prior said, with one answer in twenty from a faulty engine. Of
 // requests like those that were seen, half are expected within a tenth and nine in ten
 // within a quarter. (A figure that hardly any request showed may be further off.)
-func TestAnyEngineIsLearnedInAFewSeconds(t *testing.T) {
+func TestModelConvergesWithinSeconds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth, l := anyModel(t), NewLearner()
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		for i, p := range prompts(rnd, 150) {
+		for i, p := range randomPrompts(rnd, 150) {
 			s := Sample{Prompt: p, IdleStarts: float64(rnd.IntN(2))}
 			s.MS = truth.expectedMS(s) * (0.9 + 0.2*rnd.Float64())
 			if i%20 == 7 {
@@ -49,7 +49,7 @@
 			l.Add(s)
 		}
 		var off []float64
-		for _, p := range prompts(rnd, 100) {
+		for _, p := range randomPrompts(rnd, 100) {
 			want, got := truth.Base+truth.Read(p), l.Model().Base+l.Model().Read(p)
 			off = append(off, max(0, math.Abs(got-want)-noiseMS)/want)
 		}
@@ -60,7 +60,7 @@
 }
 
 // Nonsense from an engine, and clocks that jump, leave the model as it was.
-func TestNonsenseIsNotLearned(t *testing.T) {
+func TestInvalidSamplesAreNotLearned(t *testing.T) {
 	l := NewLearner()
 	for _, ms := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1), maxSampleMS + 1} {
 		assert.False(t, l.Add(Sample{Prompt: PromptOf(10, 0, 10), MS: ms, IdleStarts: 1}), "%v", ms)
@@ -78,7 +78,7 @@
 }
 
 // A router that becomes scheduler goes on from what the last one had learned.
-func TestModelIsInheritedByThoseWhoHaveSeenLess(t *testing.T) {
+func TestLearnerInheritsModelWithMoreSamples(t *testing.T) {
 	l := NewLearner()
 	told := Model{Base: 200, PerToken: 0.01, PerPair: 0.1}
 	l.Inherit(told, 300)
@@ -89,7 +89,7 @@
 
 // What an engine needs beyond reading holds up nobody behind: ten small prompts in
 // 20 ms wait for the reading of those before, not for their first events.
-func TestTimeBeyondReadingIsNoBacklog(t *testing.T) {
+func TestBaseTimeIsNoBacklog(t *testing.T) {
 	m := Model{Base: 50, PerToken: 0.01}
 	var q Queue
 	for i := range 10 {
@@ -126,7 +126,7 @@
 
 // One engine three times slower than its service is known after a few prompts, and
 // forgiven when nothing more is seen of it.
-func TestSlowEngineIsKnownAndForgiven(t *testing.T) {
+func TestSlownessIsLearnedAndFades(t *testing.T) {
 	m := Model{Base: 20, PerToken: 0.02}
 	var q Queue
 	now := start
@@ -158,7 +158,7 @@
 
 // First events come at the ends of steps of a batch, several at once: reading must not
 // seem faster for it.
-func TestStepsOfABatchDoNotBendTheRate(t *testing.T) {
+func TestBatchStepsDoNotBiasTheRate(t *testing.T) {
 	const step = 20 * time.Millisecond
 	m := Model{Base: 50, PerToken: 0.0114}
 	q, l := Queue{}, NewLearner()
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -11,8 +11,8 @@
 )
 
 // Once a second the log tells what decisions rest on.
-func TestReportsTellWhatDecisionsRestOn(t *testing.T) {
-	f, id := flooded(t)
+func TestReportsDescribeDecisionInputs(t *testing.T) {
+	f, id := newFloodedFleet(t)
 	sched := f.nodes[f.scheduler()]
 	sched.Step(Strained{On: false}, f.now)
 	var shares []ShareReport
@@ -31,7 +31,7 @@
 		}
 	}
 	require.Len(t, shares, 2)
-	assert.Equal(t, 2*window+int(Cost(4000, 50)), shares[0].Asked)
+	assert.Equal(t, 2*statedWindowTokens+int(Cost(4000, 50)), shares[0].Asked)
 	assert.Positive(t, shares[0].Share)
 	require.NotEmpty(t, believed)
 	assert.Equal(t, 4, believed[0].Engines)
@@ -58,14 +58,14 @@
 
 // Two organisations differed in what engines began, and no line could tell whether the one
 // that got less was waited for: what was got is what was placed.
-func TestShareReportTellsWhatWasBegunAndWhoIsWaitedFor(t *testing.T) {
+func TestShareReportIncludesStartedWorkAndUnmetDemand(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	n := f.nodes[id]
 	p := n.pools[serviceID(engines)]
 	for range shareSteps {
 		f.run(shareStep)
-		p.meter.addRequest(version.IDOf("a"), window, f.now)
+		p.meter.addRequest(version.IDOf("a"), statedWindowTokens, f.now)
 		p.meter.addGrant(version.IDOf("a"), 60_000, f.now)
 	}
 	f.arrive(id, 1, engines, "a", 4000)
--- a/internal/dispatch/retrybudget_test.go
+++ b/internal/dispatch/retrybudget_test.go
@@ -10,7 +10,7 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-func TestRetryBudgetIsKeptByTheFleet(t *testing.T) {
+func TestRetryBudgetHoldsAcrossFleet(t *testing.T) {
 	rules := RetryRules{Ratio: 0.2, Window: 10 * time.Second, Slack: 52}
 	const routers = 6
 	spent, requests := 0, 0
@@ -34,7 +34,7 @@
 }
 
 // A placement whose upstream has left before the request was sent is no repeat.
-func TestPlacementThatWasNotUsedTakesNoBudget(t *testing.T) {
+func TestUnusedPlacementCostsNoRetryBudget(t *testing.T) {
 	f := newFleet(t, 1, 3)
 	id := f.order[0]
 	f.nodes[id].set.Retry = RetryRules{Ratio: 0, Window: 10 * time.Second, Slack: 0}
--- a/internal/dispatch/sharecoverage_test.go
+++ b/internal/dispatch/sharecoverage_test.go
@@ -10,7 +10,7 @@
 )
 
 // What shares do not cover is refused at the door of a router short of processor.
-func TestCoveredIsWhatTheDoorLetsIn(t *testing.T) {
+func TestShareCoverageRatio(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
 	n := f.nodes[id]
@@ -28,8 +28,8 @@
 	s.reports.orgNames[org] = "flood"
 	own := s.pools[p.id]
 	own.here.addRequest(org, 1, f.now)
-	own.meter.addRequest(org, 4*window, f.now)
-	own.meter.addGrant(org, 2*window, f.now)
+	own.meter.addRequest(org, 4*statedWindowTokens, f.now)
+	own.meter.addGrant(org, 2*statedWindowTokens, f.now)
 	own.meter.updateShares(f.now.Add(shareStep))
 	assert.Equal(t, []ShareCoverage{{Service: engines, Org: "flood", Ratio: coverageFactor / 4}}, s.ShareCoverage(f.now.Add(shareStep)))
 }
@@ -37,8 +37,8 @@
 // What the scheduler gives beyond shares goes on coming in while the router is short of
 // processor: the door measured by the share alone, and left an organisation a half of what
 // it had had there.
-func TestDoorLetsInWhatWasPlacedHereOfLate(t *testing.T) {
-	f, id := flooded(t)
+func TestShareCoverageIncludesRecentPlacements(t *testing.T) {
+	f, id := newFloodedFleet(t)
 	n := f.nodes[id]
 	p := n.pools[serviceID(engines)]
 	org := version.IDOf("flood")
--- a/internal/dispatch/shareupdate_test.go
+++ b/internal/dispatch/shareupdate_test.go
@@ -13,16 +13,16 @@
 
 // window is the stated capacity of a fleet of tests, in tokens of the window in which
 // shares are counted.
-const window = 390_000 * 4
+const statedWindowTokens = 390_000 * 4
 
 // flooded is a fleet in which two organisations ask for everything there is, and one of
 // them comes in by the router returned, which has the scheduler's word on it.
-func flooded(t *testing.T) (f *fleet, id wire.NodeID) {
+func newFloodedFleet(t *testing.T) (f *fleet, id wire.NodeID) {
 	f = newFleet(t, 4, 4)
 	id = f.other()
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
-	p.meter.addRequest(version.IDOf("rival"), window, f.now)
-	p.meter.addRequest(version.IDOf("flood"), 2*window, f.now)
+	p.meter.addRequest(version.IDOf("rival"), statedWindowTokens, f.now)
+	p.meter.addRequest(version.IDOf("flood"), 2*statedWindowTokens, f.now)
 	f.arrive(id, 1, engines, "flood", 4000)
 	require.NotZero(t, f.nodes[id].words.received[serviceOrg{serviceID(engines), version.IDOf("flood")}].Share)
 	return f, id
@@ -30,7 +30,7 @@
 
 // pour sends a flood by a router that hears nobody, request by request, for a time, and
 // returns the tokens that it placed.
-func (f *fleet) pour(id wire.NodeID, from uint64, d time.Duration) float64 {
+func (f *fleet) sendFlood(id wire.NodeID, from uint64, d time.Duration) float64 {
 	f.cut[id] = true
 	placed := 0.0
 	no := from
@@ -48,28 +48,28 @@
 
 // A router that had heard nothing of its scheduler for two seconds placed whatever came,
 // twice an organisation's share of four seconds in one. It places what the share covers.
-func TestRouterAlonePlacesWhatTheShareCovers(t *testing.T) {
-	f, id := flooded(t)
+func TestIsolatedRouterPlacesItsFractionOfTheShare(t *testing.T) {
+	f, id := newFloodedFleet(t)
 	f.cut[id] = true
 	f.run(overTTL)
 	share := float64(f.nodes[id].words.received[serviceOrg{serviceID(engines), version.IDOf("flood")}].Share)
-	placed := f.pour(id, 10, 4*time.Second)
+	placed := f.sendFlood(id, 10, 4*time.Second)
 	assert.Less(t, placed, 1.2*share)
 	assert.Greater(t, placed, 0.05*share, "nor is everything refused")
 }
 
 // Without any word an organisation gets an even part.
-func TestRouterThatKnowsNoShareGivesAnEvenPart(t *testing.T) {
+func TestLocalAllowanceWithoutShareUpdate(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	n := f.nodes[f.other()]
 	p := n.pools[serviceID(engines)]
-	assert.InDelta(t, window, n.localAllowance(p, 1, f.now), 1)
+	assert.InDelta(t, statedWindowTokens, n.localAllowance(p, 1, f.now), 1)
 	n.reports.orgNames = map[version.ID]string{1: "a", 2: "b", 3: "c", 4: "d"}
-	assert.InDelta(t, window/4, n.localAllowance(p, 1, f.now), 1)
+	assert.InDelta(t, statedWindowTokens/4, n.localAllowance(p, 1, f.now), 1)
 }
 
 // An organisation that comes in by many routers gets its part at each.
-func TestPartOfAShareFollowsWhatComesInHere(t *testing.T) {
+func TestLocalAllowanceFollowsLocalDemand(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	n := f.nodes[f.other()]
 	p := n.pools[serviceID(engines)]
@@ -82,7 +82,7 @@
 }
 
 // Answers that came too late were thrown away with the word that they held.
-func TestLateAnswerStillTellsHowAnOrganisationStands(t *testing.T) {
+func TestLateReplyDeliversShareUpdate(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
 	n := f.nodes[id]
@@ -99,7 +99,7 @@
 
 // Who was asked in place of a scheduler that seemed silent knew of nothing, and said that
 // an organisation at 147 hundredths of its share had had 13.
-func TestOnlyTheSchedulerHasAWord(t *testing.T) {
+func TestOnlySchedulerSendsShareUpdates(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
 	var third wire.NodeID
@@ -122,7 +122,7 @@
 
 // Who was asked in place of the scheduler gave what seemed left over, 428 requests of one
 // flood in a second, and what was never begun of it stayed counted at the scheduler.
-func TestInTheSchedulersPlaceNothingIsGivenBeyondShares(t *testing.T) {
+func TestStandInSchedulerPlacesNothingOverShare(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	sched := f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
@@ -143,9 +143,9 @@
 	heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Notes: []wire.WorkNote{{No: 1, Event: wire.NoteUnused}}}}}, f.now)
 	sum := heir.unasked.sums[serviceOrg{p.id, 7}]
 	assert.InDelta(t, 0, sum.placed, 0.1, "what was placed and what came back")
-	own.meter.addRequest(8, 2*window, f.now)
-	own.meter.addRequest(7, 2*window, f.now)
-	own.meter.addGrant(7, window, f.now)
+	own.meter.addRequest(8, 2*statedWindowTokens, f.now)
+	own.meter.addRequest(7, 2*statedWindowTokens, f.now)
+	own.meter.addGrant(7, statedWindowTokens, f.now)
 	f.now = f.now.Add(shareStep)
 	refused := addRequest(2)
 	assert.Zero(t, refused.Upstream)
@@ -154,7 +154,7 @@
 
 // The next scheduler knows what organisations had, and does not count twice what it
 // placed and told itself.
-func TestHeirsKnowTheWindow(t *testing.T) {
+func TestStandbysReceiveRecordedUsage(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	sched := f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
@@ -174,7 +174,7 @@
 
 // A placement that came to nothing counted as what its organisation had got, at the
 // scheduler for good when another router had placed it.
-func TestWorkThatNeverBeganIsTakenBack(t *testing.T) {
+func TestUnstartedWorkIsSubtractedFromUsage(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
 	org := version.IDOf("unlucky")
