--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -9,44 +9,48 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Limits of admission, in parts of the time within which an answer counts as
+// Limits of admission, as ratios of the target latency, within which an answer counts as
 // fully useful.
 const (
-	maxWaitRatio = 0.80 // for an organisation that has had nothing of its share
-	// maxWaitRatioAtShare is the part for an organisation at its share: beyond it, what it adds
-	// slows the streams of all others at an engine.
+	maxWaitRatio = 0.80 // for an organisation that has used nothing of its share
+	// maxWaitRatioAtShare applies to an organisation that has used exactly its share. Any
+	// load it adds beyond that slows the streams of all other organisations at an engine.
 	maxWaitRatioAtShare = 0.15
-	// overSharePenaltyFactor is how many times the prices of a place, a fetch and a connection
-	// count as wait for what is over its share: it gets what is left over where that
-	// costs nobody anything. The wait allowed falls in proportion to how far over it is
-	// and has no floor, so that of two that are far over the farther one waits less.
+	// overSharePenaltyFactor is how many times the cost penalties of a place, a fetch and a
+	// connection count as wait for an organisation over its share: it gets spare capacity
+	// only where that costs nobody anything. The allowed wait falls in proportion to how
+	// far the organisation is over its share and has no floor, so that of two organisations
+	// far over their shares the one further over waits less.
 	overSharePenaltyFactor = 2.0
-	// maxOwnTimeRatio is the part of the aim beyond which a prompt's own reading makes it
-	// late in any case; such prompts take their turn behind half the wait.
+	// maxOwnTimeRatio is the ratio of the target beyond which the prompt's own reading time
+	// makes the answer late in any case. Such prompts may wait half as long as others.
 	maxOwnTimeRatio = 1.0
-	// priorityRankWaitFactor is the part of the wait that each further rank of priority is
-	// allowed: where routes or organisations of one service differ, the more urgent are
-	// served more often when there is not room for all.
+	// priorityRankWaitFactor multiplies the allowed wait once for each rank of priority
+	// below the most urgent one. Where routes or organisations of one service differ in
+	// priority, the more urgent requests are served more often while there is not room for
+	// all.
 	priorityRankWaitFactor = 0.7
-	// maxBusyRatio and minBusyRatio bound the part of their time that engines may be reading for
-	// an organisation over its share to get more: maxBusyRatio at its share, less by the root
-	// of how far it is over, but half of the time in any case. What is read beyond shares
-	// slows every stream at the engine, and makes those under their shares late.
+	// maxBusyRatio and minBusyRatio bound the fraction of their time that engines may spend
+	// on reading before an organisation over its share gets no more. The limit is
+	// maxBusyRatio at the share and falls with the square root of how far the organisation
+	// is over it, but never below minBusyRatio. Reading beyond shares slows every stream at
+	// the engine and makes organisations under their shares late.
 	maxBusyRatio = 0.9
 	minBusyRatio = 0.5
-	// maxReportedOver bounds how far over its share an organisation is told to be.
+	// maxReportedOver bounds the use of a share, as a ratio, that is reported for an
+	// organisation.
 	maxReportedOver = 1000
 )
 
-// verdict is the decision on one ask.
+// decision is the outcome of one placement request.
 type decision struct {
 	choice     *choice
 	retryAfter time.Duration
 	reason     Reason
-	bestWaitMS float64 // of a refusal: expected at the best upstream, in milliseconds
-	limitMS    float64 // of a refusal: allowed
-	ownMS      float64 // of a refusal: expected beyond the wait
-	over       uint32  // hundredths of its share that the organisation has had
+	bestWaitMS float64 // of a refusal: expected at the best upstream
+	limitMS    float64 // of a refusal: the longest wait allowed
+	ownMS      float64 // of a refusal: expected time to the first event beyond the wait
+	over       uint32  // percentage of its share that the organisation has used
 }
 
 // decide places a request or refuses it.
@@ -56,11 +60,11 @@
 		p.meter.addRequest(a.Org, tokens, now)
 	}
 	over := p.meter.over(a.Org, now)
-	told := overPercent(over)
+	reportedOver := overPercent(over)
 	best := p.choose(from, a, now)
 	if best == nil {
 		reason := p.noUpstreamReason(a, now)
-		return decision{retryAfter: p.noUpstreamRetryAfter(a, reason, now), reason: reason, over: told}
+		return decision{retryAfter: p.noUpstreamRetryAfter(a, reason, now), reason: reason, over: reportedOver}
 	}
 	c := best.best(p.requestTargetMS(a))
 	if p.engine != nil {
@@ -73,30 +77,31 @@
 			if reason == ReasonCapacity && over < 1 {
 				p.meter.addRefusal(a.Org, tokens, now)
 			}
-			return decision{retryAfter: p.backlogRetryAfter(a, c.waitMS, limitMS), reason: reason, bestWaitMS: c.waitMS, limitMS: limitMS, ownMS: p.learner.Model().Base + c.ownMS, over: told}
+			return decision{retryAfter: p.backlogRetryAfter(a, c.waitMS, limitMS), reason: reason, bestWaitMS: c.waitMS, limitMS: limitMS, ownMS: p.learner.Model().Base + c.ownMS, over: reportedOver}
 		}
 		p.meter.addGrant(a.Org, tokens, now)
 		p.busy.add(c.ownMS, now)
 	}
 	p.startRun(from, a, c, tokens, now)
-	return decision{choice: c, over: told}
+	return decision{choice: c, over: reportedOver}
 }
 
-// refusalReason returns why a request should not have a place, or ReasonNone, and how long it
-// might wait there, in milliseconds.
+// refusalReason returns why a request should not be placed, or ReasonNone, and how long it
+// may wait there, in milliseconds.
 func (p *pool) refusalReason(a *wire.WorkAsk, c *choice, over float64, now time.Time) (Reason, float64) {
-	limit := p.waitLimit(a, c, over)
+	limitMS := p.waitLimit(a, c, over)
 	switch {
-	case p.countedWaitMS(c, over) > limit:
-		return ReasonCapacity, limit
+	case p.countedWaitMS(c, over) > limitMS:
+		return ReasonCapacity, limitMS
 	case p.enginesTooBusy(over, now) || p.mustYield(a.Org, over, now):
-		return ReasonShare, limit
+		return ReasonShare, limitMS
 	}
-	return ReasonNone, limit
+	return ReasonNone, limitMS
 }
 
-// waits is the wait that counts against the limit: for an organisation over its share
-// with what else the place costs, but an engine with nothing before it takes everyone.
+// countedWaitMS is the wait that counts against the limit. For an organisation over its
+// share it includes the other costs of the upstream, but an engine with nothing to read
+// before it accepts everyone.
 func (p *pool) countedWaitMS(c *choice, over float64) float64 {
 	if over >= 1 && c.waitMS > 0 {
 		return c.waitMS + overSharePenaltyFactor*c.penaltyMS
@@ -104,14 +109,16 @@
 	return c.waitMS
 }
 
-// enginesTooBusy reports whether engines read so much that an organisation over its share gets
-// no more. Load pattern: organisations send several times their shares while others, at
-// most their shares, have streams at the same engines.
+// enginesTooBusy reports whether engines spend so much of their time on reading that an
+// organisation over its share gets no more.
+//
+// Load pattern: organisations send several times their shares while others, at or below
+// their shares, have streams at the same engines.
 func (p *pool) enginesTooBusy(over float64, now time.Time) bool {
 	return over >= 1 && !p.without.Shares && p.busy.ratio(p.open(now), now) > max(minBusyRatio, maxBusyRatio/math.Sqrt(over))
 }
 
-// leads reports whether an organisation has to let the others go first.
+// mustYield reports whether an organisation has to let others go first.
 func (p *pool) mustYield(org version.ID, over float64, now time.Time) bool {
 	switch {
 	case p.without.Shares || over < minYieldOver:
@@ -122,11 +129,11 @@
 	return p.meter.mustYield(org, now)
 }
 
-// mayRefuse reports whether a request may be refused for the wait. One that has been
-// sent before is work half done, or an answer half given.
+// mayRefuse reports whether a request may be refused because of the wait. A request that
+// has been sent before must not be: its work is half done, or its answer half delivered.
 func (p *pool) mayRefuse(a *wire.WorkAsk) bool { return len(a.Avoid) == 0 && !p.without.Refusals }
 
-// start books a request at its upstream.
+// startRun records a request at its upstream.
 func (p *pool) startRun(from wire.NodeID, a *wire.WorkAsk, c *choice, tokens float64, now time.Time) {
 	r := &run{
 		key:    runKey{from, a.No},
@@ -148,12 +155,13 @@
 	p.runs[r.key] = r
 }
 
-// runGrace is how much longer than its caller's deadline a run is kept when
-// nothing is heard of its end.
+// runGrace is how long after its caller's deadline a run is kept when its end was never
+// reported.
 const runGrace = 500 * time.Millisecond
 
-// requestTargetMS is the time in milliseconds within which a first event is to come: what is left of
-// the request's own target, and the strictest target of the service.
+// requestTargetMS is the time in milliseconds within which the first event is due: what is
+// left of the request's own target, or the strictest target of the service if that is
+// shorter.
 func (p *pool) requestTargetMS(a *wire.WorkAsk) float64 {
 	aim := float64(a.AimMS)
 	if a.AimMS == 0 {
@@ -165,28 +173,30 @@
 	return aim
 }
 
-// waitLimit is how long a request may wait behind others at an engine, in
-// milliseconds. over is how much of its share its organisation has had.
+// waitLimit is how long a request may wait behind others at an engine, in milliseconds.
+// over is the use of its organisation's share (see meter.over).
 func (p *pool) waitLimit(a *wire.WorkAsk, c *choice, over float64) float64 {
-	aim := p.requestTargetMS(a)
-	part := maxWaitRatio
+	targetMS := p.requestTargetMS(a)
+	ratio := maxWaitRatio
 	urgency := math.Pow(priorityRankWaitFactor, float64(p.urgency.rank(int(a.Priority))))
 	if !p.without.Shares {
-		part = waitRatio(over)
+		ratio = waitRatio(over)
 	}
-	room := aim - p.learner.Model().Base - c.ownMS
-	if c.ownMS > maxOwnTimeRatio*aim {
-		return urgency * part * aim / 2
+	roomMS := targetMS - p.learner.Model().Base - c.ownMS
+	if c.ownMS > maxOwnTimeRatio*targetMS {
+		return urgency * ratio * targetMS / 2
 	}
-	return urgency * min(part*aim, max(room, part*aim/4))
+	return urgency * min(ratio*targetMS, max(roomMS, ratio*targetMS/4))
 }
 
-// waitRatio is the part of the target that a request may wait whose organisation has had so
-// much of its share: the less, the longer, so that who is nearer to its share makes room for
-// the others also where nobody comes to it.
+// waitRatio is the ratio of the target that a request may wait, by the use of its
+// organisation's share. The less of its share an organisation has used, the longer it may
+// wait, so that organisations closer to their shares make room for the others even when
+// nobody reaches its share.
 //
-// Load pattern: engines serve less than is stated. With one limit for all that were under
-// their shares a flood kept every wait at that limit, and what was taken there came late.
+// Load pattern: engines serve less than the stated capacity. With one limit for all
+// organisations under their shares, a flood kept every wait at that limit, and the requests
+// accepted there were answered late.
 func waitRatio(over float64) float64 {
 	if over >= 1 {
 		return maxWaitRatioAtShare / over
@@ -210,11 +220,11 @@
 	return ReasonCapacity
 }
 
-// noUpstreamRetryAfter is when to come back if no upstream takes the request now.
-func (p *pool) noUpstreamRetryAfter(a *wire.WorkAsk, why Reason, now time.Time) time.Duration {
-	switch why {
+// noUpstreamRetryAfter is the Retry-After time when no upstream accepts the request now.
+func (p *pool) noUpstreamRetryAfter(a *wire.WorkAsk, reason Reason, now time.Time) time.Duration {
+	switch reason {
 	case ReasonEvacuated, ReasonRegions:
-		return maxRetryAfter // nobody knows when that changes
+		return maxRetryAfter // when that changes is unknown
 	case ReasonCold:
 		return min(max(p.warmIn(now), minRetryAfter), maxRetryAfter)
 	case ReasonBackoff:
@@ -223,7 +233,7 @@
 	return p.backlogRetryAfter(a, p.minBacklogMS(now), 0)
 }
 
-// shortest is the least backlog over all engines, in milliseconds.
+// minBacklogMS is the smallest backlog of all engines, in milliseconds.
 func (p *pool) minBacklogMS(now time.Time) float64 {
 	least := math.Inf(1)
 	for _, u := range p.order {
@@ -237,13 +247,14 @@
 	return least
 }
 
-// Bounds on when a refused caller is told to come back.
+// Bounds on the Retry-After time of a refused request.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 1500 * time.Millisecond
 )
 
-// backlogRetryAfter is when the backlog will have fallen below the request's limit.
+// backlogRetryAfter is the time after which the backlog will have fallen below the
+// request's limit.
 func (p *pool) backlogRetryAfter(a *wire.WorkAsk, waitMS, limitMS float64) time.Duration {
 	d := time.Duration((waitMS - limitMS) * 1.5 * float64(time.Millisecond))
 	return min(max(d, minRetryAfter), maxRetryAfter)
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -9,20 +9,22 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Backoff that upstreams ask for when they turn a request away (Retry-After). It concerns the
-// router that was asked alone: others may be served. A router's own pauses after failures
-// (rest.go) are guesses, and a try is better than a refusal; these are an upstream's word,
-// and nothing is tried.
+// Backoff that upstreams request with Retry-After when they refuse a request. It applies
+// only to the router that received it: the upstream may serve others. Ejection after
+// failures (ejection.go) is a guess, and a try is better than a refusal. Backoff is an
+// explicit statement of the upstream, so nothing is tried during it.
 //
-// Load pattern: one of a few upstreams turns away all that reaches it, or all do under a
-// flood, each for seconds. Every router went on to try them several times a second.
+// Load pattern: one of a few upstreams refuses all requests that reach it, or all upstreams
+// do during a flood, each for seconds. Without backoff every router went on to try them
+// several times a second.
 
-// backoffs is until when upstreams want nothing of this router.
+// backoffs holds until when each upstream accepts nothing from this router.
 type backoffs map[version.ID]time.Time
 
 func (r backoffs) has(id version.ID, now time.Time) bool { return now.Before(r[id]) }
 
-// list returns those in force, as they are told to a scheduler, and forgets the others.
+// list returns the current backoffs in the form sent to a scheduler, and removes expired
+// ones.
 func (r backoffs) list(now time.Time) (out []wire.Backoff) {
 	for id, until := range r {
 		if !now.Before(until) {
@@ -35,7 +37,7 @@
 	return out
 }
 
-// handleRetryAfter takes an upstream's word that it wants nothing of this router for a time.
+// handleRetryAfter records the backoff that an upstream has requested from this router.
 func (n *Node) handleRetryAfter(in RetryAfter, now time.Time) {
 	p, u := n.upstreamOf(in.Instance)
 	if u == nil {
@@ -49,7 +51,7 @@
 	}
 }
 
-// allBackoffs returns the upstreams of every service that want nothing of this router.
+// allBackoffs returns the backoffs of all services.
 func (n *Node) allBackoffs(now time.Time) (out []wire.Backoff) {
 	for _, p := range n.pools {
 		out = append(out, p.backoffs.list(now)...)
@@ -57,13 +59,14 @@
 	return out
 }
 
-// backsOff reports whether an upstream wants nothing of the router that asks.
+// backsOff reports whether an upstream is in backoff for the router that sent the placement
+// request.
 func (u *upstream) backsOff(a *wire.WorkAsk) bool {
 	return slices.ContainsFunc(a.Backoffs, func(r wire.Backoff) bool { return r.Upstream == u.id })
 }
 
-// allBackOff reports whether every upstream that could take a request wants nothing of the
-// router that asks.
+// allBackOff reports whether every upstream that could accept a request is in backoff for
+// the router that sent the placement request.
 func (p *pool) allBackOff(a *wire.WorkAsk) bool {
 	if len(a.Backoffs) == 0 {
 		return false
@@ -73,7 +76,7 @@
 	})
 }
 
-// minBackoff is how long it takes until some upstream takes the router's requests again.
+// minBackoff is the time until the first upstream accepts requests of that router again.
 func (p *pool) minBackoff(a *wire.WorkAsk) time.Duration {
 	least := maxRetryAfter
 	for _, r := range a.Backoffs {
--- a/internal/dispatch/busy.go
+++ b/internal/dispatch/busy.go
@@ -6,14 +6,14 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// Steps of the window in which the reading that was placed is counted.
+// Steps of the window in which placed reading time is counted.
 const (
 	busyStep  = 100 * time.Millisecond
 	busySteps = 10
 )
 
-// busyMeter measures which part of the engines' time is taken by reading that was placed
-// lately.
+// busyMeter measures the fraction of the engines' time that recently placed reading takes
+// up.
 type busyMeter struct {
 	ring ring
 	ms   [busySteps]float64
@@ -27,10 +27,10 @@
 	return b.ring.advance(now, func(i int) { b.ms[i] = 0 })
 }
 
-// add books the reading of one prompt, in milliseconds.
+// add counts the reading time of one prompt, in milliseconds.
 func (b *busyMeter) add(ms float64, now time.Time) { b.ms[b.advance(now)] += ms }
 
-// part returns the part of the time of so many engines that is taken.
+// ratio returns the fraction of the time of the given number of engines that is taken up.
 func (b *busyMeter) ratio(engines int, now time.Time) float64 {
 	b.advance(now)
 	window := float64((busySteps * busyStep).Milliseconds())
--- a/internal/dispatch/conns.go
+++ b/internal/dispatch/conns.go
@@ -6,15 +6,15 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// connIdleTTL is how long a router keeps a connection to an upstream unused, less what
-// the news of its last use may lag. internal/conn keeps them 4 s where the upstream
-// states nothing.
+// connIdleTTL is how long a router keeps an idle connection to an upstream, less the time
+// by which the notification of its last use may be late. internal/conn keeps idle
+// connections for 4 s where the upstream states no other time.
 const connIdleTTL = 3500 * time.Millisecond
 
-// conns is the scheduler's model of the connections that routers keep to one
-// upstream: each ended request leaves one, the next takes the one used last.
+// conns is the scheduler's model of the connections that routers keep to one upstream: each
+// finished request leaves one, and the next request takes the one used last.
 type conns struct {
-	until map[wire.NodeID][]time.Time // when each will have been closed, in order
+	until map[wire.NodeID][]time.Time // when each connection will have been closed, in order
 }
 
 func (c *conns) kept(node wire.NodeID, now time.Time) bool {
@@ -22,7 +22,7 @@
 	return len(list) > 0 && now.Before(list[len(list)-1])
 }
 
-// take uses a connection, or opens one.
+// use takes a kept connection, or opens a new one.
 func (c *conns) use(node wire.NodeID, now time.Time) {
 	if !c.kept(node, now) {
 		delete(c.until, node)
@@ -32,7 +32,7 @@
 	c.until[node] = list[:len(list)-1]
 }
 
-// put keeps a connection that has served.
+// release keeps a connection after use.
 func (c *conns) release(node wire.NodeID, now time.Time) {
 	if c.until == nil {
 		c.until = map[wire.NodeID][]time.Time{}
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -10,12 +10,12 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Requests that crash upstreams: what this router sees of them, and what it tells. What
-// follows from it is package quarantine's to decide.
+// Requests that crash upstreams: what this router observes of them and reports. Package
+// quarantine decides what follows from it.
 
-// Broke says that an attempt ended without a whole answer though the upstream may have
-// run it. Early says that its answer had no event yet, Lost that the upstream's side ended
-// the connection.
+// Broke reports that an attempt ended without a complete answer though the upstream may
+// have run it. Early is set if the answer had no event yet, Lost if the upstream's side
+// closed the connection.
 type Broke struct {
 	Content  fingerprint.Fingerprint
 	Org      string
@@ -25,28 +25,29 @@
 	Lost     bool
 }
 
-// ConnRefused says that an instance's address refuses connections: its process has ended.
+// ConnRefused reports that an instance's address refuses connections: its process has
+// ended.
 type ConnRefused struct{ Instance routing.Instance }
 
-// Answered says that a request to which crashes are set down has been answered whole.
+// Answered reports that a request suspected of crashes has been answered completely.
 type Answered struct{ Content fingerprint.Fingerprint }
 
 func (Broke) input()       {}
 func (ConnRefused) input() {}
 func (Answered) input()    {}
 
-// Probe asks the driver whether an instance's address refuses connections.
+// Probe asks the driver to check whether an instance's address refuses connections.
 type Probe struct{ Instance routing.Instance }
 
-// UpstreamEnded says that an upstream has ended without notice, by what that is known, and
-// how many attempts of this router it left without an answer.
+// UpstreamEnded reports that an upstream has ended without notice, by which sign this is
+// known, and how many attempts of this router it left unanswered.
 type UpstreamEnded struct {
 	Instance routing.Instance
 	By       string
 	Running  int
 }
 
-// QuarantineReport is a change of what is believed of a request.
+// QuarantineReport is a change in the suspicion of a request.
 type QuarantineReport struct {
 	quarantine.Change
 	Org string
@@ -56,19 +57,19 @@
 func (UpstreamEnded) output()    {}
 func (QuarantineReport) output() {}
 
-// Quarantine returns a copy of what is known of requests, and whether it has changed since
-// the last call.
+// Quarantine returns a copy of the suspected requests, and whether it has changed since the
+// last call.
 func (n *Node) Quarantine() (quarantine.View, bool) { return n.crashes.View() }
 
-// Held returns the requests that are held, for status pages.
+// Held returns the held requests, for status pages.
 func (n *Node) Held(now time.Time) []quarantine.HeldRequest {
 	return n.crashes.Held(n.reports.orgNames, now)
 }
 
-// broke takes an attempt without a whole answer.
+// broke handles an attempt that ended without a complete answer.
 func (n *Node) broke(in Broke, now time.Time) {
 	if n.isLeaving(in.Instance) {
-		return // its end is planned, and says nothing of what it still runs
+		return // the end is planned, and proves nothing about the requests that still run there
 	}
 	a := quarantine.Attempt{Content: in.Content, Org: version.IDOf(in.Org), Began: in.Began, Early: in.Early, Lost: in.Lost}
 	if n.crashes.Broke(version.IDOf(in.Instance.Start()), a, now) {
@@ -76,13 +77,12 @@
 	}
 }
 
-// isLeaving reports whether an instance is known to be leaving.
 func (n *Node) isLeaving(i routing.Instance) bool {
 	_, u := n.upstreamOf(i)
 	return u != nil && u.inst.Draining
 }
 
-// entryRemoved takes an upstream whose entry has gone.
+// entryRemoved handles an upstream whose entry was removed from the store.
 func (n *Node) entryRemoved(i routing.Instance, now time.Time) {
 	if i.Draining {
 		n.crashes.Left(version.IDOf(i.Start()), now)
@@ -91,7 +91,7 @@
 	n.upstreamEnded(i, "entry gone", now)
 }
 
-// upstreamEnded takes the end of an upstream.
+// upstreamEnded handles the unplanned end of an upstream.
 func (n *Node) upstreamEnded(i routing.Instance, by string, now time.Time) {
 	if n.isLeaving(i) {
 		return
@@ -105,13 +105,13 @@
 	n.out = append(n.out, UpstreamEnded{Instance: i, By: by, Running: running})
 }
 
-// attachQuarantineSum tells a router what this one holds, as one number.
+// attachQuarantineSum adds the checksum of the held requests to the datagram for a router.
 func (n *Node) attachQuarantineSum(to wire.NodeID) {
 	c := n.box.Crashes(to)
 	c.Stated, c.Sum = true, n.crashes.Sum()
 }
 
-// reportQuarantineChanges hands over what has changed, for the log.
+// reportQuarantineChanges outputs the changes since the last call, for the log.
 func (n *Node) reportQuarantineChanges() {
 	for _, c := range n.crashes.Changes() {
 		n.out = append(n.out, QuarantineReport{Change: c, Org: n.reports.orgNames[c.Org]})
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -7,14 +7,15 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// What the whole fleet is asked for, by which the slack of the retry budget is shared out.
-// In a small fleet each router hears it from every other one, in a larger one the heirs
-// do, and tell the sum.
+// The demand of the whole fleet, by which the slack of the retry budget is divided. In a
+// small fleet every router receives the demand of every other router. In a larger one the
+// scheduler groups do, and announce the sum.
 
-// demands is what other routers said last of their requests in the window.
+// demands holds what other routers last reported of their requests in the window.
 type demands map[wire.NodeID]map[version.ID]uint32
 
-// fleetDemands is what heirs said last of all requests in the window.
+// fleetDemands holds what members of scheduler groups last reported of all requests in the
+// window.
 type fleetDemands map[wire.NodeID]fleetDemand
 
 type fleetDemand struct {
@@ -22,12 +23,13 @@
 	at       time.Time
 }
 
-// fleetDemandTTL is how long an heir's sum is remembered: as long as the windows of the retry
-// budget. The largest one counts, since an heir that has just started has heard few.
+// fleetDemandTTL is how long a reported sum is remembered: as long as the window of the
+// retry budget. The largest sum counts, since a router that has just started has received
+// few reports.
 const fleetDemandTTL = 10 * time.Second
 
-// expire forgets sums that are too old, but for the latest one: a router that is cut off
-// goes on by it.
+// expire forgets sums that are too old, except for the latest one, which a router that is
+// cut off continues to use.
 func (f fleetDemands) expire(now time.Time) {
 	var latest time.Time
 	for _, d := range f {
@@ -42,9 +44,10 @@
 	}
 }
 
-// demandRatio returns the part of all requests for a service that came in here, by
-// what is known of the others, reachable or not. A router of a large fleet that has heard
-// no sum takes no part: all of them would take all.
+// demandRatio returns the fraction of all requests for a service that arrived here, by what
+// is known of the other routers, reachable or not. A router of a large fleet that has
+// received no sum takes no part of the slack: otherwise all such routers would take all of
+// it.
 func (n *Node) demandRatio(service version.ID, now time.Time) float64 {
 	own := float64(n.budget(service).recentRequests(now))
 	if own == 0 || len(n.fleet) == 0 && n.isLarge() {
@@ -53,7 +56,7 @@
 	return own / max(own, n.fleetRequests(service, now))
 }
 
-// fleetRequests returns the requests for a service in the window, of all routers.
+// fleetRequests returns the number of requests for a service in the window, at all routers.
 func (n *Node) fleetRequests(service version.ID, now time.Time) float64 {
 	all := float64(n.budget(service).recentRequests(now))
 	for _, requests := range n.demands {
@@ -65,7 +68,7 @@
 	return all
 }
 
-// ownDemand is what this router tells of its requests.
+// ownDemand is what this router reports of its own requests.
 func (n *Node) ownDemand(now time.Time) []wire.ServiceDemand {
 	var out []wire.ServiceDemand
 	for id, b := range n.budgets {
@@ -76,8 +79,9 @@
 	return out
 }
 
-// fleetDemand is what an heir tells of all routers' requests: what it has heard itself, so
-// that a sum that was once too large does not go round for ever.
+// fleetDemand is what a member of a scheduler group reports of all routers' requests. It
+// contains only what it has received from the routers themselves, so that a sum that was
+// once too large is not passed around for ever.
 func (n *Node) fleetDemand(now time.Time) []wire.ServiceDemand {
 	sums := map[version.ID]uint32{}
 	for id, b := range n.budgets {
@@ -95,17 +99,17 @@
 	return out
 }
 
-func (n *Node) handleDemand(from wire.NodeID, told []wire.ServiceDemand) {
-	n.demands[from] = requestsByService(told)
+func (n *Node) handleDemand(from wire.NodeID, list []wire.ServiceDemand) {
+	n.demands[from] = requestsByService(list)
 }
 
-func (n *Node) handleFleetDemand(from wire.NodeID, told []wire.ServiceDemand, now time.Time) {
-	n.fleet[from] = fleetDemand{requestsByService(told), now}
+func (n *Node) handleFleetDemand(from wire.NodeID, list []wire.ServiceDemand, now time.Time) {
+	n.fleet[from] = fleetDemand{requestsByService(list), now}
 }
 
-func requestsByService(told []wire.ServiceDemand) map[version.ID]uint32 {
+func requestsByService(list []wire.ServiceDemand) map[version.ID]uint32 {
 	by := map[version.ID]uint32{}
-	for _, d := range told {
+	for _, d := range list {
 		by[d.Service] = d.Requests
 	}
 	return by
--- a/internal/dispatch/inflight.go
+++ b/internal/dispatch/inflight.go
@@ -10,26 +10,26 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// flight is a request that came in at this router, from Arrive to End.
+// inflightRequest is a request that arrived at this router, from Arrive to End.
 type inflightRequest struct {
 	req           Request
 	avoid         []version.ID
 	service       version.ID
 	try           uint32
-	upstreamID    version.ID  // the upstream it has, 0 while it has none
-	scheduler     wire.NodeID // who placed it, or is asked
-	work          int         // tokens the upstream is expected to read
+	upstreamID    version.ID  // where it is placed, 0 while it is not placed
+	scheduler     wire.NodeID // the router that placed it, or that is asked to
+	work          int         // tokens that the upstream is expected to read
 	firstEvent    bool
 	requestedAt   time.Time
-	lastRequestAt time.Time // of the last ask
-	orphan        bool      // the router that placed it has ended, and remembers nothing of it
-	reported      bool      // it was placed here, and the scheduler is told
+	lastRequestAt time.Time // when the placement request was last sent
+	orphan        bool      // the router that placed it has ended and has lost all knowledge of it
+	reported      bool      // it was placed here, and the scheduler has been informed
 }
 
-// cost is the request's work as shares are counted.
+// cost is the request's work as counted in shares.
 func (f *inflightRequest) cost() float64 { return Cost(f.req.Input, f.req.Output) }
 
-// arrive decides, or asks the service's scheduler to.
+// arrive decides on a new request, or sends a placement request to the service's scheduler.
 func (n *Node) arrive(r Request, now time.Time) {
 	f := &inflightRequest{req: r, service: serviceID(r.Service)}
 	n.flights[r.ID] = f
@@ -65,10 +65,11 @@
 	n.sendPlacementRequest(f, now)
 }
 
-// needsScheduler reports whether a service's scheduler decides. The routers of a small fleet
-// choose among a plain service's upstreams by themselves: they hear of each other's use
-// every 200 ms. In a larger one that is too old for upstreams of a few slots; and what cold
-// ones get is summed over all routers.
+// needsScheduler reports whether decisions for a service are made by its scheduler. The
+// routers of a small fleet choose among a plain service's upstreams by themselves, since
+// they learn of each other's use every 200 ms. In a larger fleet that information is too
+// old for upstreams with few slots. Requests to cold upstreams have to be counted over all
+// routers.
 func (n *Node) needsScheduler(p *pool, now time.Time) bool {
 	return (p.engine != nil || n.isLarge() || p.hasCold(now)) && !n.set.Without.Scheduler
 }
@@ -109,8 +110,8 @@
 
 func remainingMS(t, now time.Time) uint32 { return uint32(max(0, t.Sub(now).Milliseconds())) }
 
-// decideLocally decides on the own model: this router is the scheduler, the service
-// is plain, or the scheduler does not answer.
+// decideLocally decides by this router's own model: this router is the scheduler, the
+// service is plain, or the scheduler does not reply.
 func (n *Node) decideLocally(f *inflightRequest, p *pool, now time.Time) {
 	a := n.placementRequest(f, now)
 	a.Backoffs = p.backoffs.list(now)
@@ -144,8 +145,8 @@
 	n.out = append(n.out, o)
 }
 
-// addLocalGrant counts what was placed for this router's callers; a negative number takes it
-// back.
+// addLocalGrant counts what was placed for this router's callers; a negative number takes
+// it back.
 func (n *Node) addLocalGrant(f *inflightRequest, tokens float64, now time.Time) {
 	if p := n.pools[f.service]; p != nil {
 		p.here.addGrant(version.IDOf(f.req.Org), tokens, now)
@@ -158,8 +159,8 @@
 	n.out = append(n.out, Refuse{ID: f.req.ID, Reason: v.reason, After: v.retryAfter, By: by, WaitMS: int(v.bestWaitMS), LimitMS: int(v.limitMS), OwnMS: int(v.ownMS), Over: v.over, Revision: n.cat.Revision})
 }
 
-// waiting returns the requests without a place, in the order in which they came, so
-// that the same inputs give the same decisions.
+// unplacedRequests returns the requests without an upstream in the order of their arrival,
+// so that the same inputs lead to the same decisions.
 func (n *Node) unplacedRequests() []*inflightRequest {
 	var out []*inflightRequest
 	for _, f := range n.flights {
@@ -171,15 +172,15 @@
 	return out
 }
 
-// tickPlacementRequests repeats asks that were not answered, and gives up on schedulers
-// that stay silent.
+// tickPlacementRequests resends unanswered placement requests, and decides without
+// schedulers that do not reply.
 func (n *Node) tickPlacementRequests(now time.Time) {
 	for _, f := range n.unplacedRequests() {
 		switch {
 		case now.Sub(f.requestedAt) >= n.replyTimeout(f):
 			n.decideWithoutScheduler(f, now)
 		case n.lateness.announced:
-			// The answer may wait unread here.
+			// The reply may already be here, not yet read.
 		case now.Sub(f.lastRequestAt) >= n.trip.resendDelay():
 			n.Counts.AskedAgain++
 			n.sendPlacementRequest(f, now)
@@ -187,8 +188,9 @@
 	}
 }
 
-// decideWithoutScheduler decides here instead of a scheduler that has not answered. A
-// router that was heard since the ask is slow, not gone, and stays scheduler.
+// decideWithoutScheduler makes a local decision for a request whose scheduler has not
+// replied. A router that was heard from since the placement request is slow, not gone, and
+// remains the scheduler.
 func (n *Node) decideWithoutScheduler(f *inflightRequest, now time.Time) {
 	n.Counts.OwnDecision++
 	n.gaveUp[f.req.ID] = timedOutRequest{f.try, f.requestedAt}
@@ -200,7 +202,7 @@
 		n.refuse(f, decision{reason: ReasonNoUpstream, retryAfter: maxRetryAfter}, n.set.ID)
 		return
 	}
-	f.try++ // an answer that still comes is to an ask that is over
+	f.try++ // a reply that still arrives belongs to an earlier attempt
 	org := version.IDOf(f.req.Org)
 	if over := n.localOver(p, org, now); over >= 1 && len(f.avoid) == 0 && p.engine != nil {
 		n.reports.addDecision(serviceOrg{p.id, org}, 0, false)
@@ -210,15 +212,18 @@
 	n.decideLocally(f, p, now)
 }
 
-// maySuspectScheduler reports whether this router can tell whose silence it is. It cannot when it is
-// late itself, or was a moment ago, nor when it has heard nobody since it last took one for silent: then it is
-// cut off, or does not get to read. Load pattern: a flood at a small router; it took nine
-// schedulers for silent in 0.6 s, and made itself one that knew of nothing.
+// maySuspectScheduler reports whether this router may take a silent scheduler for failed.
+// It must not if it is overloaded itself, or was a moment ago, nor if it has received
+// nothing from anyone since it last suspected a scheduler: then it is cut off, or does not
+// get to read its datagrams.
+//
+// Load pattern: a flood at a small router. It took nine schedulers for failed within 0.6 s,
+// and made itself a scheduler that knew nothing.
 func (n *Node) maySuspectScheduler(now time.Time) bool {
 	return !n.lateness.announced && (n.heardAt.After(n.blamedAt) || now.Sub(n.blamedAt) >= silentFor)
 }
 
-// blame passes a silent scheduler over for a while.
+// suspectScheduler skips a silent scheduler for a while.
 func (n *Node) suspectScheduler(id wire.NodeID, now time.Time) {
 	if until := n.silent[id]; now.After(until) {
 		n.event(Event{Name: "scheduler-silent", Router: id, Detail: "decided here"})
@@ -229,7 +234,7 @@
 	n.members.Suspect(id, now)
 }
 
-// again looks for another upstream for a request.
+// retryElsewhere looks for another upstream for a request.
 func (n *Node) retryElsewhere(in Again, now time.Time) {
 	f := n.flights[in.ID]
 	if f == nil || f.upstreamID == 0 {
@@ -244,7 +249,6 @@
 	n.findPlacement(f, now)
 }
 
-// budget returns the retry budget of a service.
 func (n *Node) budget(service version.ID) *retryBudget {
 	b := n.budgets[service]
 	if b == nil {
@@ -254,8 +258,8 @@
 	return b
 }
 
-// fleetSize counts every router known, alive or not, so that routers which lose
-// sight of each other do not spend more together.
+// fleetSize counts all known routers, alive or not, so that routers which lose contact with
+// each other do not spend more of the retry budget together.
 func (n *Node) fleetSize() int { return n.members.Known() }
 
 func (n *Node) firstEvent(in First, now time.Time) {
@@ -281,8 +285,8 @@
 	}
 }
 
-// revertLocalGrant returns what was counted here for a placement that came to nothing, and
-// tells the scheduler when the placement was not its own.
+// revertLocalGrant takes back what was counted here for a placement that was not used, and
+// reports it to the scheduler if this router had placed it instead of the scheduler.
 func (n *Node) revertLocalGrant(f *inflightRequest, now time.Time) {
 	n.addLocalGrant(f, -f.cost(), now)
 	if f.scheduler != n.set.ID || !f.reported {
@@ -291,7 +295,7 @@
 	n.unasked.add(serviceOrg{f.service, version.IDOf(f.req.Org)}, 0, -f.cost())
 }
 
-// tell brings news of a run to the router that placed it.
+// sendNote reports progress of a run to the router that placed it.
 func (n *Node) sendNote(f *inflightRequest, note wire.WorkNote, now time.Time) {
 	if !f.firstEvent && (note.Event == wire.NoteUnused || wire.IsFailure(note.Event)) {
 		n.revertLocalGrant(f, now)
@@ -309,7 +313,7 @@
 	n.notes[f.scheduler] = append(n.notes[f.scheduler], note)
 }
 
-// attachNotes moves waiting news into a datagram that goes to their receiver.
+// attachNotes moves pending notifications of progress into a datagram for their receiver.
 func (n *Node) attachNotes(id wire.NodeID, w *wire.Work) {
 	w.Notes = append(w.Notes, n.notes[id]...)
 	delete(n.notes, id)
@@ -321,7 +325,7 @@
 	}
 }
 
-// recordReadParts keeps what an upstream has read for the next regular message.
+// recordReadParts keeps the prompt parts that an upstream has read for the next heartbeat.
 func (n *Node) recordReadParts(up version.ID, parts []wire.PromptPart) {
 	for _, part := range parts {
 		if len(n.read) >= maxTold {
--- a/internal/dispatch/localdecision.go
+++ b/internal/dispatch/localdecision.go
@@ -7,21 +7,21 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Decisions without the scheduler. A router refuses at its door when it is short of
-// processor, and decides for itself when the scheduler does not answer in time.
-// The scheduler must hear what was wanted and placed, or it bends shares.
+// Local decisions, made without the scheduler. A router sheds requests when it is short of
+// CPU, and decides by itself when the scheduler does not reply in time. The scheduler must
+// learn what was requested and placed that way, or the shares it computes are wrong.
 
-// localUsageInterval is how often the scheduler is told; it is the step in which shares are
-// counted.
+// localUsageInterval is how often local decisions are reported to the scheduler; it is the
+// step in which shares are counted.
 const localUsageInterval = shareStep
 
-// localUsage sums decisions without the scheduler until it is told.
+// localUsage sums up local decisions until they are reported to the scheduler.
 type localUsage struct {
 	sums map[serviceOrg]usageSum
 	due  time.Time
 }
 
-// usageSum is in tokens as Cost counts them.
+// usageSum is in tokens as counted by Cost.
 type usageSum struct{ wanted, placed float64 }
 
 func (s usageSum) plus(wanted, placed float64) usageSum {
@@ -34,7 +34,7 @@
 	u.sums[k] = u.sums[k].plus(wanted, placed)
 }
 
-// turned takes what was refused at the door.
+// handleShedWork counts requests that were shed.
 func (n *Node) handleShedWork(in Turned, now time.Time) {
 	for _, t := range in.Work {
 		k := serviceOrg{serviceID(t.Service), version.IDOf(t.Org)}
@@ -46,11 +46,11 @@
 	}
 }
 
-// countLocalDecision notes a decision made here though another router is the scheduler. It
-// reports whether that one is told.
+// countLocalDecision counts a decision made here while another router is the scheduler. It
+// reports whether the decision will be reported to that scheduler.
 func (n *Node) countLocalDecision(p *pool, a *wire.WorkAsk, placed bool, now time.Time) bool {
 	if p.engine == nil || n.schedulerOf(p.id, now) == n.set.ID {
-		return false // no shares, or it is this router that counts them
+		return false // the service has no shares, or this router counts them itself
 	}
 	tokens := Cost(int(a.Input), int(a.Output))
 	wanted := 0.0
@@ -70,7 +70,7 @@
 	return true
 }
 
-// tickLocalUsage tells the schedulers.
+// tickLocalUsage reports local decisions to the schedulers.
 func (n *Node) tickLocalUsage(now time.Time) {
 	if now.Before(n.unasked.due) {
 		return
@@ -95,9 +95,9 @@
 	clear(n.unasked.sums)
 }
 
-// handleLocalUsage counts what a router decided without asking. One that took this router for
-// the scheduler, and was wrong, has its sums passed on: the scheduler would else never
-// hear of what was placed.
+// handleLocalUsage counts the local decisions of another router. If that router wrongly
+// took this one for the scheduler, the sums are passed on, since the scheduler would
+// otherwise never learn what was placed.
 func (n *Node) handleLocalUsage(from wire.NodeID, u wire.Unasked, now time.Time) {
 	p := n.pools[u.Service]
 	if p == nil || p.engine == nil {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -9,34 +9,37 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Where a request runs: at the upstream where its answer is expected first, with what
-// else a place costs reckoned as time.
+// Placement: a request runs at the upstream with the earliest expected first event, where
+// other costs of an upstream are counted as time.
 
-// Weights of a choice, in milliseconds of a first event's time.
+// Costs of a placement, in milliseconds of time to the first event.
 const (
-	crossPlaceCostMS = 8.0 // an engine in another place: bytes between places are priced
-	// crossPlaceExtraMS and fetchExtraMS are what another place and a fetch cost on top of that while an
-	// engine has little to read: a request waits that much longer there where neither is
-	// needed. Prompts and streams that cross are most of all bytes between places.
+	crossPlaceCostMS = 8.0 // an engine in another place: traffic between places is charged for
+	// crossPlaceExtraMS and fetchExtraMS are added to the costs of another place and of a
+	// fetch while an engine has little to read: a request waits that much longer at an
+	// engine that needs neither. Prompts and streams that cross places make up most of the
+	// traffic between places.
 	crossPlaceExtraMS = 30.0
 	fetchExtraMS      = 20.0
-	// shortWaitRatio is the part of the target up to which a wait is little. Behind more, a
-	// request goes where it is served soonest: late answers cost more than crossing.
+	// shortWaitRatio is the ratio of the target latency up to which a wait is short. Behind
+	// a longer wait a request goes where it is served soonest: late answers cost more than
+	// traffic between places.
 	shortWaitRatio        = 0.1
-	fetchCostMS           = 10.0 // a fetch is priced, and keeps the same parts twice
-	notInUseCostMS        = 10.0 // an engine that is not in use: what later requests share is read there anew
-	newConnCostMS         = 8.0  // the router keeps no connection to the engine: a new one is priced like a small move
+	fetchCostMS           = 10.0 // a fetch causes traffic and caches the same prompt parts twice
+	notInUseCostMS        = 10.0 // an engine outside the working set: parts that later requests share have to be read there again
+	newConnCostMS         = 8.0  // the router keeps no connection to the engine: opening one costs about as much as a small fetch
 	plainCrossPlaceCostMS = 6.0  // a plain upstream in another place
-	plainOwnRequestCostMS = 10.0 // each request the own router has at a plain upstream
-	// plainOtherRequestCostMS is the same for requests that other routers state.
+	plainOwnRequestCostMS = 10.0 // each request that this router has at a plain upstream
+	// plainOtherRequestCostMS is the cost of each request that other routers report at a
+	// plain upstream.
 	plainOtherRequestCostMS = 6.0
 )
 
-// takes reports whether an upstream may be given this work at all. One that rests
-// after failures is passed over, unless rested says that all that could take it do:
-// a try there is better than a refusal. One that backs off is not tried.
-func (u *upstream) accepts(a *wire.WorkAsk, rested bool, now time.Time) bool {
-	if u.closed() || !u.inAllowedRegion(a.Regions) || u.rest.active(now) && !rested || u.backsOff(a) {
+// accepts reports whether an upstream may be given this request at all. An ejected upstream
+// is skipped unless includeEjected is set, because all candidates are ejected: a try there
+// is better than a refusal. An upstream in backoff is never tried.
+func (u *upstream) accepts(a *wire.WorkAsk, includeEjected bool, now time.Time) bool {
+	if u.closed() || !u.inAllowedRegion(a.Regions) || u.rest.active(now) && !includeEjected || u.backsOff(a) {
 		return false
 	}
 	for _, id := range a.Avoid {
@@ -47,43 +50,43 @@
 	return true
 }
 
-// inAllowedRegion reports whether an upstream stands in one of the regions that a request is bound
-// to, if it is bound to any.
+// inAllowedRegion reports whether an upstream is in one of the regions that a request is
+// restricted to, or the request is not restricted.
 func (u *upstream) inAllowedRegion(regions []version.ID) bool {
 	return len(regions) == 0 || u.region != 0 && slices.Contains(regions, u.region)
 }
 
-// choice is the best upstream for a request, with what is expected there.
+// choice is an upstream considered for a request, with the expected times and costs there.
 type choice struct {
 	up        *upstream
 	source    *upstream
 	work      int // tokens to read
 	prompt    prefill.Prompt
-	waitMS    float64 // behind others
-	ownMS     float64 // fetching kept parts and reading the rest
-	penaltyMS float64 // beyond time, in milliseconds: another place, a fetch, a new connection
-	cost      float64 // time and price
+	waitMS    float64 // behind other requests
+	ownMS     float64 // fetching cached parts and reading the rest
+	penaltyMS float64 // costs beyond time: another place, a fetch, a new connection
+	cost      float64 // time and penalty
 }
 
-// choices are the two places that are weighed for a request.
+// choices are the two best upstreams for a request, by different weights of locality.
 type choices struct {
-	cheapest choice // of least cost
-	nearby   choice // of least cost when another place and a fetch cost more
+	cheapest choice // of lowest cost
+	nearby   choice // of lowest cost when another place and a fetch cost extra
 }
 
-// best returns the one near while its wait is little.
-func (b *choices) best(aimMS float64) *choice {
-	if b.nearby.waitMS <= shortWaitRatio*aimMS {
+// best returns the nearby upstream while its wait is short, otherwise the cheapest one.
+func (b *choices) best(targetMS float64) *choice {
+	if b.nearby.waitMS <= shortWaitRatio*targetMS {
 		return &b.nearby
 	}
 	return &b.cheapest
 }
 
-// expectation is what a choice stands for, in whole tokens and milliseconds.
+// expectation is what is expected of a choice, in whole tokens and milliseconds.
 type expectation struct {
 	work, waitMS, ownMS int
-	cold                bool // the upstream is
-	needsHealthCheck    bool // it may be, without anyone's knowledge
+	cold                bool // the upstream is cold
+	needsHealthCheck    bool // the upstream may be cold without this router knowing
 }
 
 func (p *pool) expectation(c *choice, now time.Time) expectation {
@@ -98,7 +101,7 @@
 	return e
 }
 
-// choose returns the best upstreams, or nil when none takes work.
+// choose returns the best upstreams, or nil when none accepts the request.
 func (p *pool) choose(from wire.NodeID, a *wire.WorkAsk, now time.Time) *choices {
 	if c := p.chooseAmong(from, a, false, now); c != nil {
 		return c
@@ -106,28 +109,28 @@
 	return p.chooseAmong(from, a, true, now)
 }
 
-// chooseAmong is choose among those that do not rest, or among all.
-func (p *pool) chooseAmong(from wire.NodeID, a *wire.WorkAsk, rested bool, now time.Time) *choices {
-	look := p.candidates(a, now)
-	best := p.bestOf(look, from, a, rested, now)
+// chooseAmong is choose among the upstreams that are not ejected, or among all.
+func (p *pool) chooseAmong(from wire.NodeID, a *wire.WorkAsk, includeEjected bool, now time.Time) *choices {
+	upstreams := p.candidates(a, now)
+	best := p.bestOf(upstreams, from, a, includeEjected, now)
 	if best == nil && !p.isSmall() {
-		best = p.bestOf(p.furtherCandidates(a, rested, now), from, a, rested, now)
+		best = p.bestOf(p.furtherCandidates(a, includeEjected, now), from, a, includeEjected, now)
 	}
 	return best
 }
 
-// bestOf returns the best of some upstreams, or nil when none takes work.
-func (p *pool) bestOf(look []*upstream, from wire.NodeID, a *wire.WorkAsk, rested bool, now time.Time) *choices {
+// bestOf returns the best of the given upstreams, or nil when none accepts the request.
+func (p *pool) bestOf(upstreams []*upstream, from wire.NodeID, a *wire.WorkAsk, includeEjected bool, now time.Time) *choices {
 	if p.engine == nil {
-		if c := p.choosePlain(look, a, rested, now); c != nil {
+		if c := p.choosePlain(upstreams, a, includeEjected, now); c != nil {
 			return &choices{cheapest: *c, nearby: *c}
 		}
 		return nil
 	}
-	holder := p.findPrefixHolder(look, a, now)
+	holder := p.findPrefixHolder(upstreams, a, now)
 	var best choices
-	for _, u := range look {
-		if p.hasRoom(u, a, rested, now) {
+	for _, u := range upstreams {
+		if p.hasRoom(u, a, includeEjected, now) {
 			best.consider(p.estimate(u, from, a, holder, now), a.Place)
 		}
 	}
@@ -137,9 +140,9 @@
 	return &best
 }
 
-// hasRoom reports whether an upstream takes a request now.
-func (p *pool) hasRoom(u *upstream, a *wire.WorkAsk, rested bool, now time.Time) bool {
-	if !u.accepts(a, rested, now) || !p.coldRoom(u, now) {
+// hasRoom reports whether an upstream accepts a request now.
+func (p *pool) hasRoom(u *upstream, a *wire.WorkAsk, includeEjected bool, now time.Time) bool {
+	if !u.accepts(a, includeEjected, now) || !p.coldRoom(u, now) {
 		return false
 	}
 	if p.engine == nil {
@@ -150,7 +153,7 @@
 	return u.running() < p.engine.Slots && u.memory()+own <= usable
 }
 
-// weigh takes a place where it is better than those before.
+// consider replaces the best choices so far where c is better.
 func (b *choices) consider(c choice, place version.ID) {
 	if b.cheapest.up == nil || c.cost < b.cheapest.cost {
 		b.cheapest = c
@@ -160,7 +163,8 @@
 	}
 }
 
-// away is the cost of a choice with what it costs beyond to leave a place, and to fetch.
+// localityCost is the cost of a choice including the extra costs of another place and of a
+// fetch.
 func (c *choice) localityCost(place version.ID) float64 {
 	out := c.cost
 	if c.up.place != place {
@@ -172,11 +176,11 @@
 	return out
 }
 
-// findPrefixHolder notes at some engines how much of the prompt each keeps, and returns the one that
-// keeps most of it read.
-func (p *pool) findPrefixHolder(look []*upstream, a *wire.WorkAsk, now time.Time) *upstream {
+// findPrefixHolder records at each given engine how much of the prompt it has cached, and
+// returns the engine from which the longest prefix can be fetched.
+func (p *pool) findPrefixHolder(upstreams []*upstream, a *wire.WorkAsk, now time.Time) *upstream {
 	var holder *upstream
-	for _, u := range look {
+	for _, u := range upstreams {
 		u.kept, u.ready = 0, 0
 		if p.without.Parts {
 			continue
@@ -192,7 +196,7 @@
 	return holder
 }
 
-// at works out what a request would meet at an engine.
+// estimate works out the wait, time and cost of a request at an engine.
 func (p *pool) estimate(u *upstream, from wire.NodeID, a *wire.WorkAsk, holder *upstream, now time.Time) choice {
 	m := p.learner.Model()
 	c := choice{up: u, waitMS: u.backlog(m, now)}
@@ -222,30 +226,31 @@
 	return c
 }
 
-// maxSpreadMS is the most that a router which decides by itself counts for one engine against
-// another, by its own order of them.
+// maxSpreadMS bounds the cost that a router deciding without the scheduler adds to engines
+// by its own order of them.
 //
-// Load pattern: all routers start anew at once and know nothing of each other. Each sent
-// its first requests to the engine that comes first of those with nothing to read: the same
-// one for all of a place.
+// Load pattern: all routers restart at once and know nothing of each other. Each sent its
+// first requests to the first of the engines with nothing to read, which was the same one
+// for all routers of a place.
 const maxSpreadMS = 20.0
 
-// spread is an engine's place in a router's own order, from 0 to maxSpreadMS (rendezvous
-// hashing).
+// spreadCostMS is an engine's position in a router's own order (rendezvous hashing), scaled
+// to the range from 0 to maxSpreadMS.
 func spreadCostMS(from wire.NodeID, u *upstream) float64 {
 	return maxSpreadMS * float64(rendezvousHash(u.id, from)>>11) / (1 << 53)
 }
 
-// crowd is what a full batch adds to every token of its requests.
+// batchCostMS is the time that a full batch adds to every token of its requests.
 func (p *pool) batchCostMS(u *upstream) float64 {
 	return 0.3 * float64(u.running())
 }
 
-// choosePlain returns the best of some plain upstreams, or nil when none takes work.
-func (p *pool) choosePlain(look []*upstream, a *wire.WorkAsk, rested bool, now time.Time) *choice {
+// choosePlain returns the best of the given plain upstreams, or nil when none accepts the
+// request.
+func (p *pool) choosePlain(upstreams []*upstream, a *wire.WorkAsk, includeEjected bool, now time.Time) *choice {
 	var best *choice
-	for _, u := range look {
-		if !p.hasRoom(u, a, rested, now) {
+	for _, u := range upstreams {
+		if !p.hasRoom(u, a, includeEjected, now) {
 			continue
 		}
 		u.settle(now)
--- a/internal/dispatch/prefixcache.go
+++ b/internal/dispatch/prefixcache.go
@@ -7,20 +7,20 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// cache is what one engine is believed to keep of prompts: the parts it was sent,
-// the least recently used leaving first, as in the engines' own memory.
+// cache is the model of one engine's prefix cache: the prompt parts that were sent to it,
+// of which the least recently used ones are evicted first, as in the engine itself.
 type cache struct {
-	limit    int // tokens
+	limit    int // in tokens
 	used     int
 	parts    map[uint64]*list.Element
-	order    *list.List     // of *part, most recently used first
-	recorder holderRecorder // notes who holds what; may be the zero value
+	order    *list.List     // of *cachedPart, most recently used first
+	recorder holderRecorder // records which engine holds which part; may be the zero value
 }
 
 type cachedPart struct {
 	id     uint64
 	tokens int
-	ready  bool // read; before that another engine cannot fetch it
+	ready  bool // it has been read; before that, other engines cannot fetch it
 	at     time.Time
 }
 
@@ -28,8 +28,8 @@
 	return &cache{limit: limit, parts: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// prefix returns how many tokens of a prompt's parts are kept, from the first up to
-// what is missing, and how many of them have been read: another engine can fetch those.
+// prefix returns how many tokens of a prompt's parts are cached, up to the first missing
+// one, and how many of these have been read, so that another engine can fetch them.
 func (c *cache) prefix(parts []wire.PromptPart) (kept, ready int) {
 	allReady := true
 	for _, p := range parts {
@@ -50,7 +50,7 @@
 	return kept, ready
 }
 
-// add records a use of a part. ready says that it has been read.
+// add records a use of a part. ready tells whether the part has been read.
 func (c *cache) add(id uint64, tokens int, ready bool, now time.Time) {
 	if e := c.parts[id]; e != nil {
 		p := e.Value.(*cachedPart)
@@ -66,7 +66,6 @@
 	c.recorder.added(id)
 }
 
-// drop forgets a part.
 func (c *cache) drop(id uint64) {
 	e := c.parts[id]
 	if e == nil {
@@ -78,18 +77,17 @@
 	c.recorder.dropped(id)
 }
 
-// clear forgets every part.
 func (c *cache) clear() {
 	for id := range c.parts {
 		c.drop(id)
 	}
 }
 
-// engineReportLag is how old the own knowledge of a part must be until the engine's
-// word, which comes late, goes before it.
+// engineReportLag is the age from which this router's own knowledge of a part gives way to
+// the engine's report, which arrives late.
 const engineReportLag = 600 * time.Millisecond
 
-// correct takes the engine's own word.
+// applyReport corrects the model by the engine's own report.
 func (c *cache) applyReport(in Kept, now time.Time) {
 	listed := map[uint64]bool{}
 	for _, k := range in.Parts {
@@ -117,7 +115,7 @@
 	}
 }
 
-// fit forgets the least recently used parts beyond what running requests leave.
+// fit evicts the least recently used parts that do not fit beside the running requests.
 func (c *cache) fit(running int) {
 	for c.used > max(0, c.limit-running) {
 		e := c.order.Back()
--- a/internal/dispatch/rank.go
+++ b/internal/dispatch/rank.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// schedulerOf returns the router that decides for a service.
+// schedulerOf returns the scheduler of a service.
 func (n *Node) schedulerOf(service version.ID, now time.Time) wire.NodeID {
 	if ranked := n.ranked(service, now); len(ranked) > 0 {
 		return ranked[0]
@@ -19,9 +19,9 @@
 	return n.set.ID
 }
 
-// ranked returns the live routers that are not known to be silent in the order in
-// which they would decide for a service: those with most processor first, since
-// a scheduler works for the whole fleet, and of equal ones by rendezvous hashing.
+// ranked returns the live routers, except those suspected of having failed, in the order in
+// which they become the scheduler of a service: the routers with the most CPU first, since
+// a scheduler works for the whole fleet, and routers of equal CPU by rendezvous hashing.
 func (n *Node) ranked(service version.ID, now time.Time) []wire.NodeID {
 	return n.ranking(service, now).order
 }
@@ -48,31 +48,33 @@
 	return r
 }
 
-// ranked is a router with what it is ranked by.
+// rankedRouter is a router with its sort keys.
 type rankedRouter struct {
 	id       wire.NodeID
 	cpuClass uint32
 	hash     uint64
 }
 
-// ranking is a service's routers in order, kept for a moment.
+// ranking is the order of routers for one service, cached for a short time.
 type ranking struct {
 	order   []wire.NodeID
-	relays  map[string][]wire.NodeID // by place, found when they are asked for
+	relays  map[string][]wire.NodeID // by place, filled on demand
 	changes int
 	at      time.Time
 }
 
 const (
-	// rankingTTL is how long a ranking is kept while no router's state changes, but some are
-	// passed over for a time. Another one that falls silent clears it at once.
+	// rankingTTL is how long a ranking is cached while the state of no router changes but
+	// some routers are skipped for a time. A router that becomes suspect clears the cache
+	// at once.
 	rankingTTL = 100 * time.Millisecond
-	// largeFleetRankingTTL is how long it is kept in a large fleet where states change all the time:
-	// hundreds of routers that start together are heard of one by one.
+	// largeFleetRankingTTL is how long a ranking is cached in a large fleet while states
+	// change all the time: hundreds of routers that start together are discovered one by
+	// one.
 	largeFleetRankingTTL = 2 * TickEvery
 )
 
-// holds reports whether a ranking may still be used.
+// valid reports whether a ranking may still be used.
 func (r *ranking) valid(n *Node, now time.Time) bool {
 	age := now.Sub(r.at)
 	if r.changes != n.members.Changes {
@@ -81,8 +83,8 @@
 	return len(n.silent) == 0 || age < rankingTTL
 }
 
-// power is a router's processor, in steps of a quarter of a core, so that small
-// differences do not make one router the scheduler of everything.
+// cpuClass is a router's CPU in steps of a quarter of a core, so that small differences do
+// not make one router the scheduler of every service.
 func (n *Node) cpuClass(id wire.NodeID) uint32 {
 	const step = 250
 	if id == n.set.ID {
@@ -98,7 +100,7 @@
 	var b [4]byte
 	b[0], b[1], b[2], b[3] = byte(service), byte(service>>8), byte(service>>16), byte(service>>24)
 	d := xxhash.New()
-	_, _ = d.Write(b[:]) // a digest takes everything
+	_, _ = d.Write(b[:]) // writes to a digest never fail
 	_, _ = d.WriteString(string(id))
 	return d.Sum64()
 }
--- a/internal/dispatch/recordedusage.go
+++ b/internal/dispatch/recordedusage.go
@@ -7,15 +7,16 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// What a scheduler has booked of each organisation is told to those who may take over, so
-// that a hand-over forgets no window: a scheduler that knows nothing takes every
-// organisation for one that has had nothing.
+// Recorded usage: a scheduler replicates what it has counted for each organisation to its
+// standbys, so that a change of scheduler does not lose the window. A scheduler without it
+// would treat every organisation as if it had used nothing.
 
-// recordedUsageInterval is how often heirs are told: what they do not know yet is a quarter of the
-// window at most.
+// recordedUsageInterval is how often the standbys are updated: they lack at most a quarter
+// of the window.
 const recordedUsageInterval = time.Second
 
-// booked sums what a meter took since it was told last, and what each heir told itself.
+// recordedUsage sums up what a meter has counted since the last replication, and what each
+// standby reported itself.
 type recordedUsage struct {
 	sums  map[version.ID]usageSum
 	known map[wire.NodeID]map[version.ID]usageSum
@@ -29,7 +30,7 @@
 	b.sums[org] = b.sums[org].plus(wanted, placed)
 }
 
-// addKnown notes that a router knows of this already.
+// addKnown records that a router already knows of this usage, because it reported it.
 func (b *recordedUsage) addKnown(from wire.NodeID, org version.ID, wanted, placed float64) {
 	if b.known[from] == nil {
 		b.known[from] = map[version.ID]usageSum{}
@@ -37,7 +38,7 @@
 	b.known[from][org] = b.known[from][org].plus(wanted, placed)
 }
 
-// unknownTo is what a router does not know yet.
+// unknownTo returns the usage that a router does not know yet.
 func (b *recordedUsage) unknownTo(to wire.NodeID, service version.ID) []wire.Unasked {
 	var out []wire.Unasked
 	for org, s := range b.sums {
@@ -55,7 +56,7 @@
 	clear(b.known)
 }
 
-// tickRecordedUsage tells the heirs of the services that this router schedules.
+// tickRecordedUsage updates the standbys of the services that this router schedules.
 func (n *Node) tickRecordedUsage(now time.Time) {
 	if now.Before(n.bookedDue) {
 		return
@@ -75,7 +76,7 @@
 	}
 }
 
-// handleRecordedUsage takes what a scheduler has booked.
+// handleRecordedUsage adds the usage that a scheduler has recorded to this router's meters.
 func (n *Node) handleRecordedUsage(rows []wire.Unasked, now time.Time) {
 	for _, r := range rows {
 		if p := n.pools[r.Service]; p != nil && p.engine != nil {
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -9,28 +9,31 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Window in which an organisation's use is compared with its share, 4 s, in steps.
+// The sliding window in which an organisation's use is compared with its share: 4 s, in
+// steps.
 const (
 	shareStep  = 250 * time.Millisecond
 	shareSteps = 16
 )
 
-// meter measures what each organisation asked for and got in the window, in
-// tokens, and cuts capacity between them by max-min fairness: whoever asks for
-// less than an even share gets it, the rest share evenly what is left.
+// meter measures what each organisation requested and was granted in the window, in tokens,
+// and divides the capacity between organisations by max-min fairness: an organisation that
+// requests less than an even share gets what it requests, and the others share the rest
+// evenly.
 type meter struct {
 	capacity      float64 // tokens in a window, 0 when unknown
 	orgs          map[version.ID]*orgUsage
 	ring          ring
 	shares        map[version.ID]float64
 	recordedUsage recordedUsage
-	grantedShares map[version.ID]float64 // parts of what is given out, while engines serve less than is stated
-	leastServed   float64                // tokens that the least served one got of those that ask for more
+	grantedShares map[version.ID]float64 // max-min shares of the tokens that were granted, set while engines serve less than the stated capacity
+	leastServed   float64                // tokens granted to the least served organisation that has unmet demand
 	dirty         bool
 }
 
-// tally is one organisation's tokens by step: missed was refused for the wait while it was
-// under its share. begun is for the log alone.
+// orgUsage is the tokens of one organisation by step: requested, granted, refused because
+// of the wait while it was under its share, and started by an engine. started is used for
+// logging only.
 type orgUsage struct{ asked, got, refusedUnderShare, started [shareSteps]float64 }
 
 func newMeter(tokensPerSecond float64) *meter {
@@ -44,13 +47,14 @@
 	return m
 }
 
-// setCapacity takes what the operators state; it changes while the process runs.
+// setCapacity sets the stated capacity, which may change while the process runs.
 func (m *meter) setCapacity(tokensPerSecond float64) {
 	m.capacity = tokensPerSecond * shareStep.Seconds() * shareSteps
 	m.dirty = true
 }
 
-// advance empties the steps that have left the window.
+// advance clears the steps that have left the window and returns the index of the current
+// one.
 func (m *meter) advance(now time.Time) int {
 	before := m.ring.now
 	i := m.ring.advance(now, m.clearStep)
@@ -58,7 +62,8 @@
 	return i
 }
 
-// empty forgets one step, and organisations that have asked for nothing since.
+// clearStep clears one step and forgets organisations that have requested nothing in the
+// window.
 func (m *meter) clearStep(i int) {
 	for id, u := range m.orgs {
 		u.asked[i], u.got[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
@@ -77,33 +82,34 @@
 	return u
 }
 
-// at returns an organisation's tokens as of a time.
+// at returns an organisation's tokens in the window that ends now.
 func (m *meter) at(org version.ID, now time.Time) *orgUsage {
 	m.advance(now)
 	return m.usageOf(org)
 }
 
-// asked books a demand.
+// addRequest counts requested tokens.
 func (m *meter) addRequest(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
 	m.usageOf(org).asked[i] += tokens
 	m.recordedUsage.add(org, tokens, 0)
 }
 
-// grant books what was placed; a negative number takes it back.
+// addGrant counts placed tokens; a negative number takes them back.
 func (m *meter) addGrant(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
 	m.usageOf(org).got[i] += tokens
 	m.recordedUsage.add(org, 0, tokens)
 }
 
-// miss books what was refused for the wait to an organisation under its share.
+// addRefusal counts tokens that were refused because of the wait to an organisation under
+// its share.
 func (m *meter) addRefusal(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
 	m.usageOf(org).refusedUnderShare[i] += tokens
 }
 
-// begin books what an engine began.
+// addStart counts tokens of requests that an engine has started.
 func (m *meter) addStart(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
 	if u := m.orgs[org]; u != nil {
@@ -113,7 +119,7 @@
 
 func windowTotal(steps *[shareSteps]float64) float64 { return floats.Sum(steps[:]) }
 
-// refresh cuts the shares anew when what they rest on has changed.
+// updateShares recomputes the shares when their inputs have changed.
 func (m *meter) updateShares(now time.Time) {
 	m.advance(now)
 	if m.dirty {
@@ -125,8 +131,9 @@
 	}
 }
 
-// over returns how far an organisation is over its share: what it got, over its
-// max-min share of the capacity. Below 1 it is under its share.
+// over returns how much of its share an organisation has used: the tokens granted to it as
+// a ratio of its max-min share of the capacity. Below 1 it is under its share, from 1 on it
+// is over.
 func (m *meter) over(org version.ID, now time.Time) float64 {
 	m.updateShares(now)
 	share := m.shares[org]
@@ -136,13 +143,13 @@
 	return windowTotal(&m.usageOf(org).got) / share
 }
 
-// demand is what an organisation asked for in the window, in tokens.
+// demand is what an organisation requested in the window, in tokens.
 type demand struct {
 	org    version.ID
 	tokens float64
 }
 
-// demands returns what organisations asked for, the least first.
+// demands returns what organisations requested, sorted by tokens, the smallest first.
 func (m *meter) demands() []demand {
 	out := make([]demand, 0, len(m.orgs))
 	for id, u := range m.orgs {
@@ -157,8 +164,8 @@
 	return out
 }
 
-// maxMinShares divides a capacity between demands, the least first (progressive filling). It
-// returns what each organisation may use without being over.
+// maxMinShares divides a capacity between demands, the smallest first (progressive
+// filling). It returns how much each organisation may use without being over its share.
 func maxMinShares(demands []demand, capacity float64) map[version.ID]float64 {
 	out := make(map[version.ID]float64, len(demands))
 	left := capacity
--- a/internal/dispatch/sharecoverage.go
+++ b/internal/dispatch/sharecoverage.go
@@ -6,26 +6,28 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Covered is the part of what an organisation asks for here that a router short of
-// processor should ask a place for.
+// ShareCoverage is the ratio of an organisation's requests at this router for which a
+// router short of CPU should request a placement.
 type ShareCoverage struct {
 	Service, Org string
 	Ratio        float64
 }
 
-// coverageFactor is how many times its share, and how many times what was placed here of late, an
-// organisation's requests are let in for: some of what is let in is refused for other
-// reasons, and what lies beyond shares is given out too.
+// coverageFactor multiplies the organisation's share, and what was recently placed here, to
+// get the number of requests that are admitted: some of the admitted requests are refused
+// for other reasons, and capacity beyond shares is given out too.
 //
-// Load pattern: of three floods one came in by a router short of processor, and the two
-// others had three times their shares and more. Measured by its share alone the first one
-// was left twice that, whatever the scheduler would have given it.
+// Load pattern: of three floods one arrived through a router short of CPU, and the other
+// two got three times their shares and more. Limited by its share alone, the first one was
+// left with twice its share, whatever the scheduler would have granted it.
 const coverageFactor = 2.0
 
-// Covered returns the organisations that have had their shares and ask for more than is
-// covered. Load pattern: of 2,000 requests a second of one organisation at a small router
-// 25 are served; asking for each of the others, and waiting for the answer, is what makes
-// that router late. They are refused at its door, before their bodies are read.
+// ShareCoverage returns the organisations that have used up their shares and request more
+// than is covered.
+//
+// Load pattern: of 2,000 requests a second of one organisation at a small router 25 are
+// served. Sending a placement request for each of the others, and waiting for the reply, is
+// what overloads that router. They are shed before their bodies are read.
 func (n *Node) ShareCoverage(now time.Time) []ShareCoverage {
 	var out []ShareCoverage
 	for _, p := range n.pools {
@@ -41,7 +43,7 @@
 	return out
 }
 
-// localCoverage is the part of an organisation's requests that is let in.
+// localCoverage is the ratio of an organisation's requests that is admitted here.
 func (n *Node) localCoverage(p *pool, org version.ID, now time.Time) float64 {
 	here := p.here.at(org, now)
 	placed := coverageFactor * windowTotal(&here.got) / max(1, windowTotal(&here.asked))
@@ -51,7 +53,7 @@
 	return max(placed, n.coverageFromUpdate(p, org, now))
 }
 
-// coverageFromUpdate is the part that the share covers, by the scheduler's word.
+// coverageFromUpdate is the ratio that the share covers, by the scheduler's latest update.
 func (n *Node) coverageFromUpdate(p *pool, org version.ID, now time.Time) float64 {
 	w := n.words.received[serviceOrg{p.id, org}]
 	if w.at.IsZero() || n.localOver(p, org, now) < 1 {
@@ -60,7 +62,7 @@
 	return coverageFactor * float64(w.Share) / max(1, float64(w.Asked))
 }
 
-// coverageByShare is the part that the share covers, by the meter of the scheduler itself.
+// coverageByShare is the ratio that the share covers, by the scheduler's own meter.
 func (m *meter) coverageByShare(org version.ID, now time.Time) float64 {
 	m.updateShares(now)
 	u, share := m.usageOf(org), m.shares[org]
--- a/internal/dispatch/shareupdate.go
+++ b/internal/dispatch/shareupdate.go
@@ -7,39 +7,44 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// The scheduler's word on how an organisation stands, told to the routers by which the
-// organisation comes in, and what such a router may give it without being told again.
+// Share updates: the scheduler reports how much of its share an organisation has used to
+// the routers that receive the organisation's requests, and with that how much such a
+// router may place without asking again.
 //
-// Load pattern: an organisation sends many times its share by a router that is short of
-// processor. Answers come there after the router has stopped waiting for them, so it
-// decides alone, for all that comes. It may then neither refuse everything nor place
-// everything: it places what the share covers of what comes in here.
+// Load pattern: an organisation sends many times its share through a router that is short
+// of CPU. Placement replies arrive there after the router has stopped waiting for them, so
+// it makes a local decision for every request. It may neither refuse everything nor place
+// everything: it places the fraction of the share that corresponds to the requests it
+// receives.
 
 const (
-	// shareUpdateInterval is the least time between two words to one router on one organisation:
-	// with the lateness of a slow router on top still a small part of the window.
+	// shareUpdateInterval is the minimum time between two updates to one router on one
+	// organisation. Together with the delay of an overloaded router it is still a small
+	// fraction of the window.
 	shareUpdateInterval = 100 * time.Millisecond
-	// overTTL is how long the word that an organisation has had its share holds by itself:
-	// half of the window in which shares are counted.
+	// overTTL is how long an update that an organisation has used up its share is valid by
+	// itself: half of the window in which shares are counted.
 	overTTL = shareSteps * shareStep / 2
-	// shareUpdateTTL is how long the share that was told is remembered. Shares change with what
-	// all others ask for; an old one is still nearer than an even part.
+	// shareUpdateTTL is how long a reported share is remembered. Shares change with the
+	// demand of all other organisations, but an old share is still a better estimate than
+	// an even one.
 	shareUpdateTTL = 30 * time.Second
-	// minLocalShareRatio is the least part of a share that a router gives alone: of a few requests
-	// one is more than their part. More routers than that are not late at once.
+	// minLocalShareRatio is the smallest fraction of a share that a router grants in local
+	// decisions: when few requests arrive, a single one can exceed the router's fraction.
+	// No more than eight routers are expected to be overloaded at once.
 	minLocalShareRatio = 1.0 / 8
 )
 
-// serviceOrg is an organisation at a service.
+// serviceOrg names an organisation at a service.
 type serviceOrg struct{ service, org version.ID }
 
-// receivedShareUpdate is the scheduler's latest word on an organisation.
+// receivedShareUpdate is the scheduler's latest update on an organisation.
 type receivedShareUpdate struct {
 	wire.ShareWord
 	at time.Time
 }
 
-// words keeps what was heard, and when what was told last.
+// shareUpdates keeps the updates received, and when each update was last sent.
 type shareUpdates struct {
 	received map[serviceOrg]receivedShareUpdate
 	sent     map[shareUpdateKey]time.Time
@@ -54,8 +59,9 @@
 	return shareUpdates{received: map[serviceOrg]receivedShareUpdate{}, sent: map[shareUpdateKey]time.Time{}}
 }
 
-// sendShareUpdate tells a router how an organisation stands, unless it was told just now. Only
-// the scheduler has a word: another router that is asked in its place says nothing.
+// sendShareUpdate reports to a router how much of its share an organisation has used,
+// unless it did so just now. Only the scheduler reports this: a router that was asked in
+// the scheduler's place doesn't know.
 func (n *Node) sendShareUpdate(to wire.NodeID, p *pool, org version.ID, now time.Time) {
 	if p.engine == nil || n.schedulerOf(p.id, now) != n.set.ID {
 		return
@@ -76,17 +82,18 @@
 	})
 }
 
-// hundredths is a part of a share as it is told.
+// overPercent is the use of a share as it is reported, in per cent.
 func overPercent(over float64) uint32 { return uint32(100 * min(over, maxReportedOver)) }
 
-// handleShareUpdates keeps what the scheduler says, also in answers that come too late.
+// handleShareUpdates keeps the scheduler's updates, including those that come with replies
+// that are too late.
 func (n *Node) handleShareUpdates(list []wire.ShareWord, now time.Time) {
 	for _, w := range list {
 		n.words.received[serviceOrg{w.Service, w.Org}] = receivedShareUpdate{w, now}
 	}
 }
 
-// expire forgets words that say nothing any more.
+// expire forgets updates that are no longer valid.
 func (w *shareUpdates) expire(now time.Time) {
 	for k, h := range w.received {
 		if now.Sub(h.at) >= shareUpdateTTL {
@@ -100,9 +107,9 @@
 	}
 }
 
-// localOver is how far over its share an organisation is for a decision without the
-// scheduler: by the scheduler's word while that is fresh, and by what was placed here in
-// the window against what the share covers of what came in here.
+// localOver is how much of its share an organisation has used, for a decision without the
+// scheduler: the larger of the scheduler's latest value, while that is fresh, and of what
+// was placed here in the window as a ratio of the local allowance.
 func (n *Node) localOver(p *pool, org version.ID, now time.Time) float64 {
 	over := 0.0
 	if allowed := n.localAllowance(p, org, now); allowed > 0 {
@@ -114,9 +121,10 @@
 	return over
 }
 
-// allowance is how many tokens of an organisation this router places in a window without
-// the scheduler, 0 for no bound: what is asked here of the organisation's share, by the
-// scheduler's last word; an even part of the capacity where there was none.
+// localAllowance is how many tokens of an organisation this router may place in a window
+// without the scheduler, 0 for no limit. It is the fraction of the organisation's share
+// that corresponds to the demand received here, by the scheduler's latest update, or an
+// even part of the capacity without an update.
 func (n *Node) localAllowance(p *pool, org version.ID, now time.Time) float64 {
 	w := n.words.received[serviceOrg{p.id, org}]
 	if w.at.IsZero() {
