--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -7,34 +7,36 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Which upstreams a decision looks at. In a small pool all; in a larger one those that keep
-// the prompt's shared parts, a few of those in use, and one that is not, in each place. So a
-// decision takes the same time before 60 upstreams and before 12,000.
+// Candidates: the upstreams that a decision compares. In a small pool these are all
+// upstreams. In a larger one they are, in each place, those that have cached parts of the
+// prompt, a few of the working set, and one outside it. A decision therefore takes the same
+// time for 60 upstreams and for 12,000.
 
-// Bounds of a look.
+// Limits on the number of candidates.
 const (
-	// maxFullScan is the largest pool of which each decision looks at every upstream: more
-	// than a decision would otherwise look at.
+	// maxFullScan is the size of the largest pool of which each decision compares all
+	// upstreams. It is more than a decision compares in a larger pool.
 	maxFullScan = 128
-	// maxLocalHolders and maxRemoteHolders are how many upstreams that keep a part are looked at
-	// in the caller's place and in each other place.
+	// maxLocalHolders and maxRemoteHolders limit the candidates that have cached a part of
+	// the prompt, in the caller's place and in each other place.
 	maxLocalHolders  = 16
 	maxRemoteHolders = 4
-	// maxLocalInUse and maxRemoteInUse are the same of those in use. The best of a few taken in
-	// turn is nearly as little loaded as the best of all (power of d choices, Mitzenmacher
-	// 2001).
+	// maxLocalInUse and maxRemoteInUse are the same limits for upstreams of the working
+	// set. The best of a few upstreams taken in rotation is nearly as little loaded as the
+	// best of all (power of d choices, Mitzenmacher 2001).
 	maxLocalInUse  = 8
 	maxRemoteInUse = 2
-	// maxUnusedScan bounds the search for one that is not in use and takes work.
+	// maxUnusedScan limits the search for an upstream outside the working set that accepts
+	// the request.
 	maxUnusedScan = 16
 )
 
-// isSmall reports whether a decision looks at every upstream.
+// isSmall reports whether a decision compares all upstreams of the pool.
 func (p *pool) isSmall() bool { return len(p.order) <= maxFullScan }
 
-// look is the list of those that a decision looks at.
+// look is the list of candidates of one decision.
 type look struct {
-	decisionNo uint64 // of the decision
+	decisionNo uint64 // counts decisions
 	upstreams  []*upstream
 }
 
@@ -43,7 +45,7 @@
 	l.upstreams = l.upstreams[:0]
 }
 
-// add takes an upstream, once.
+// add appends an upstream unless it is on the list already.
 func (l *look) add(u *upstream) {
 	if u.lookedAt == l.decisionNo {
 		return
@@ -52,7 +54,8 @@
 	l.upstreams = append(l.upstreams, u)
 }
 
-// addRotating takes up to so many of a list, beginning at another one in each decision.
+// addRotating adds up to most upstreams of a list, from another starting point in each
+// decision.
 func (l *look) addRotating(list []*upstream, most int) {
 	if len(list) == 0 {
 		return
@@ -63,7 +66,7 @@
 	}
 }
 
-// candidates returns the upstreams that a decision looks at.
+// candidates returns the upstreams that a decision compares.
 func (p *pool) candidates(a *wire.WorkAsk, now time.Time) []*upstream {
 	if p.isSmall() {
 		return p.order
@@ -78,7 +81,8 @@
 	return l.upstreams
 }
 
-// limitFor is how many upstreams of a place are looked at: of the caller's own, or of another.
+// limitFor returns the limit that applies to a place: own for the caller's place, away for
+// any other.
 func limitFor(set *placeSet, a *wire.WorkAsk, own, away int) int {
 	if set.id == a.Place {
 		return own
@@ -86,7 +90,7 @@
 	return away
 }
 
-// addHolders takes those that keep parts of the prompt, the longest beginnings first.
+// addHolders adds engines that have cached parts of the prompt, the longest prefixes first.
 func (p *pool) addHolders(a *wire.WorkAsk) {
 	if p.engine == nil || p.without.Parts {
 		return
@@ -101,7 +105,7 @@
 	}
 }
 
-// addInUse takes a few of those in use, others in each decision.
+// addInUse adds a few upstreams of the working set, in rotation.
 func (s *placeSet) addInUse(l *look, most int) {
 	for range min(most, len(s.inUse)) {
 		s.nextInUse = (s.nextInUse + 1) % len(s.inUse)
@@ -109,8 +113,8 @@
 	}
 }
 
-// addUnused takes the next upstream that is not in use and takes the request, if there is
-// one nearby. It is the same in each decision until it is used.
+// addUnused adds the next upstream outside the working set that accepts the request, if one
+// is found nearby. It stays the same for all decisions until it is used.
 func (p *pool) addUnused(s *placeSet, a *wire.WorkAsk, now time.Time) {
 	if len(s.inUse) == len(s.all) {
 		return
@@ -125,15 +129,15 @@
 	}
 }
 
-// others returns upstreams beyond the candidates that take a request, where none of the
-// candidates does.
-func (p *pool) furtherCandidates(a *wire.WorkAsk, rested bool, now time.Time) []*upstream {
+// furtherCandidates returns upstreams beyond the candidates that accept a request, for when
+// no candidate does.
+func (p *pool) furtherCandidates(a *wire.WorkAsk, includeEjected bool, now time.Time) []*upstream {
 	l := &p.look
 	l.upstreams = l.upstreams[:0]
 	first := int(l.decisionNo % uint64(len(p.order)))
 	for i := range p.order {
 		u := p.order[(first+i)%len(p.order)]
-		if u.lookedAt != l.decisionNo && p.hasRoom(u, a, rested, now) {
+		if u.lookedAt != l.decisionNo && p.hasRoom(u, a, includeEjected, now) {
 			l.add(u)
 		}
 		if len(l.upstreams) == maxFullScan {
@@ -143,7 +147,7 @@
 	return l.upstreams
 }
 
-// holders are the engines that keep a part of prompts, by place.
+// holders maps each prompt part to the engines that have cached it, by place.
 type holders map[partInPlace][]*upstream
 
 type partInPlace struct {
@@ -151,7 +155,7 @@
 	place version.ID
 }
 
-// holderRecorder notes which parts one engine keeps. Its zero value notes nothing.
+// holderRecorder records which parts one engine has cached. Its zero value records nothing.
 type holderRecorder struct {
 	holders holders
 	up      *upstream
--- a/internal/dispatch/ejection.go
+++ b/internal/dispatch/ejection.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// rest keeps work away from an upstream after failures, longer each time, and
-// lets it in again gently.
+// ejection keeps requests away from an upstream after consecutive failures (outlier
+// ejection), each time for longer, until it succeeds again.
 type ejection struct {
 	until    time.Time
 	duration time.Duration
 	failures int
 }
 
-// Failures in a row after which an upstream rests, and for how long. One failure
-// proves little: an upstream may lose a fortieth of its answers and be sound.
+// An upstream is ejected after consecutive failures. A single failure proves little: a
+// healthy upstream may lose one in forty of its answers.
 const (
 	ejectAfterFailures  = 2
 	minEjectionDuration = 300 * time.Millisecond
@@ -29,7 +29,7 @@
 
 func (r *ejection) recordSuccess(now time.Time) {
 	if now.Before(r.until) {
-		return // answers of requests sent before it rested
+		return // answers to requests sent before the ejection
 	}
 	r.failures, r.duration = 0, 0
 }
--- a/internal/dispatch/learnedmodel.go
+++ b/internal/dispatch/learnedmodel.go
@@ -8,9 +8,9 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch/prefill"
 )
 
-// learnedModels is what this router has learned of engines, or inherited. It is told also
-// after the scheduler's role has gone to another: a router that has just started may
-// take the role at once, knowing nothing.
+// learnedModels returns what this router has learned or inherited about its engines. It is
+// sent even after the scheduler's role has passed to another router: a router that has just
+// started may take over the role at once, without any knowledge.
 func (n *Node) learnedModels() []wire.PrefillModel {
 	var out []wire.PrefillModel
 	for _, p := range n.pools {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// handleModels inherits what others have learned, where they have seen more.
+// handleModels inherits the models of other routers that are based on more samples.
 func (n *Node) handleModels(models []wire.PrefillModel) {
 	for _, m := range models {
 		if p := n.pools[m.Service]; p != nil && p.engine != nil {
@@ -31,8 +31,7 @@
 	}
 }
 
-// logModels writes a line when what is believed of a service's engines has changed by a
-// fifth or more.
+// logModels logs the model of a service's engines when it has changed by a fifth or more.
 func (n *Node) logModels() {
 	for _, p := range n.pools {
 		if p.engine == nil {
@@ -48,8 +47,8 @@
 	}
 }
 
-// differ reports whether two models expect times for a usual prompt that are a fifth or
-// more apart.
+// modelsDiffer reports whether the times that two models expect for a typical prompt differ
+// by a fifth or more.
 func modelsDiffer(a, b prefill.Model) bool {
 	const usual, fifth = 2000, 1.2
 	p := prefill.PromptOf(usual, 0, usual)
@@ -57,13 +56,13 @@
 	return math.Max(x, y) > fifth*math.Min(x, y)
 }
 
-// learned is what was learned of the engines, as peers are told.
+// learnedModel is the model of the pool's engines in the form sent to peers.
 func (p *pool) learnedModel() wire.PrefillModel {
 	m := p.learner.Model()
 	return wire.PrefillModel{Service: p.id, Base: float32(m.Base), PerToken: float32(m.PerToken), PerPair: float32(m.PerPair), PerFetched: float32(m.PerFetched), Samples: uint32(p.learner.Seen())}
 }
 
-// modelFromWire is a model as a peer tells it.
+// modelFromWire converts a model received from a peer.
 func modelFromWire(m wire.PrefillModel) prefill.Model {
 	return prefill.Model{Base: float64(m.Base), PerToken: float64(m.PerToken), PerPair: float64(m.PerPair), PerFetched: float64(m.PerFetched)}
 }
--- a/internal/dispatch/leastserved.go
+++ b/internal/dispatch/leastserved.go
@@ -7,48 +7,52 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// What is over shares goes to whoever asks, but not to one organisation alone while
-// another one waits.
+// Fairness beyond shares: capacity beyond shares goes to any organisation that requests it,
+// but not to one organisation alone while another has unmet demand.
 
-// maxLeadRatio is how many times what another one got that asks for more an organisation may
-// have had for what is over its share: under two, so that what was placed and has not begun
-// yet, or was told late, does not make it twice as much.
+// maxLeadRatio is how many times the tokens of the least served organisation with unmet
+// demand another organisation may have been granted before it gets nothing more beyond its
+// share. It is below two, so that requests that were placed but not started, or reported
+// late, do not make the difference twofold.
 const maxLeadRatio = 1.5
 
-// unmetDemandRatio is how many times what it got an organisation asks for that counts as one that
-// waits.
+// unmetDemandRatio is how many times its granted tokens an organisation must request to
+// count as having unmet demand.
 const unmetDemandRatio = 1.5
 
-// minUnmetSeconds is how many seconds in a row an organisation has to have asked for more than
-// it got for others to be held back for it: one that asked once may never return, and one
-// that has just begun to ask is about to be served.
+// minUnmetSeconds is how many seconds in a row an organisation must have had unmet demand
+// before others are held back for it: an organisation with a single burst may never return,
+// and one that has just begun to send is about to be served.
 const minUnmetSeconds = 2
 
-// stepsPerSecond is how many steps of the window are summed. In a single step one large
-// request that is served makes up for all that were refused.
+// stepsPerSecond is how many steps of the window are summed up to decide on unmet demand.
+// In a single step one large request that is served outweighs all that were refused.
 const stepsPerSecond = int64(time.Second / shareStep)
 
-// leads reports whether an organisation has had so much more than the least served of
-// those that ask for more than they get, that the others go first. Load pattern: two
-// organisations flood, one by a router that cannot bring its requests as fast; what is
-// over shares all goes to the other, three and a half times as much in six seconds.
+// mustYield reports whether an organisation has been granted so much more than the least
+// served organisation with unmet demand that others go first.
+//
+// Load pattern: two organisations flood, one of them through a router that delivers its
+// requests more slowly. All capacity beyond shares went to the other one, three and a half
+// times as much within six seconds.
 func (m *meter) mustYield(org version.ID, now time.Time) bool {
 	m.updateShares(now)
 	return windowTotal(&m.usageOf(org).got) > maxLeadRatio*m.leastServed
 }
 
-// wants reports whether an organisation has asked for more than its share and for more
-// than it got, and goes on asking.
+// hasUnmetDemand reports whether an organisation has requested more than its share and more
+// than it was granted, and continues to do so.
 func (m *meter) hasUnmetDemand(org version.ID, u *orgUsage) bool {
 	asked := windowTotal(&u.asked)
 	return asked > m.shares[org] && asked > unmetDemandRatio*windowTotal(&u.got) && m.unmetLongEnough(u)
 }
 
-// unmetLongEnough reports whether an organisation has asked for more than it got for some time.
+// unmetLongEnough reports whether an organisation has had unmet demand for long enough that
+// others are held back for it.
 func (m *meter) unmetLongEnough(u *orgUsage) bool { return m.unmetSeconds(u) >= minUnmetSeconds }
 
-// unmetSeconds is for how many of the latest seconds, one after the other, an organisation
-// has asked for more than it got.
+// unmetSeconds counts the latest consecutive seconds in which an organisation requested
+// more than it was granted.
 func (m *meter) unmetSeconds(u *orgUsage) int {
 	for second := range shareSteps / stepsPerSecond {
 		asked, got := 0.0, 0.0
@@ -64,7 +68,8 @@
 	return int(shareSteps / stepsPerSecond)
 }
 
-// updateLeastServed finds what the least served organisation got of those that ask for more.
+// updateLeastServed computes the tokens granted to the least served organisation with unmet
+// demand.
 func (m *meter) updateLeastServed() {
 	m.leastServed = math.Inf(1)
 	for id, u := range m.orgs {
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -6,25 +6,27 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// A router that is short of processor says so with everything it tells, so that nobody
-// takes its lateness for that of engines or of other routers.
+// A router that is short of CPU announces this with everything it sends, so that its delays
+// are not attributed to engines or to other routers.
 
 const (
-	// overloadHoldDuration is how long after it was last late a router says so: what it had put off
-	// is told by then.
+	// overloadHoldDuration is how long after an overload a router continues to announce it:
+	// by then it has sent what it had put off.
 	overloadHoldDuration = time.Second
-	// statedLoadDecayInterval is how often stated loads are worked off.
+	// statedLoadDecayInterval is how often the loads stated by routers are reduced by what
+	// engines have read since.
 	statedLoadDecayInterval = 50 * time.Millisecond
 )
 
-// lateness is what this router says of itself.
+// lateness is the overload that this router announces.
 type lateness struct {
 	announced bool
 	until     time.Time
 }
 
-// tickOverload keeps what this router says of itself. One that reads answers as late as others
-// give up on them is late too, whatever its processor seems to have left.
+// tickOverload updates what this router announces of itself. A router that reads replies as
+// late as others give up waiting for them is overloaded too, however much CPU it seems to
+// have left.
 func (n *Node) tickOverload(now time.Time) {
 	if n.late || n.trip.mean >= askGiveUp {
 		n.lateness.until = now.Add(overloadHoldDuration)
@@ -33,7 +35,7 @@
 	n.setOverloaded(n.set.ID, n.lateness.announced)
 }
 
-// tickStatedLoads works off what routers state.
+// tickStatedLoads reduces the stated loads by what engines have read since.
 func (n *Node) tickStatedLoads(now time.Time) {
 	elapsed := now.Sub(n.worked)
 	if elapsed < statedLoadDecayInterval {
@@ -56,10 +58,11 @@
 	}
 }
 
-// setOverloaded takes a router's word on whether it is short of processor. Its requests leave
-// it late, and what it tells of them is late: neither is the engines' doing. Load pattern:
-// a flood at one small router, whose first events came 0.7 to 2.7 s after they were made;
-// the median engine seemed 100 to 700 ms behind, and organisations under their shares were
+// setOverloaded records whether a router says that it is short of CPU. Its requests leave
+// it late, and so do its notifications about them: neither delay is caused by the engines.
+//
+// Load pattern: a flood at one small router, which reported first events 0.7 to 2.7 s late.
+// The median engine seemed 100 to 700 ms behind, and organisations under their shares were
 // refused everywhere while engines had nothing to read.
 func (p *pool) setOverloaded(id wire.NodeID, late bool) {
 	if p.late[id] == late {
--- a/internal/dispatch/prefill/learn.go
+++ b/internal/dispatch/prefill/learn.go
@@ -9,22 +9,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Bounds of learning.
+// Limits of learning.
 const (
-	// window is how many samples count: some seconds of a busy service, so that a
-	// changed engine is learned as fast.
+	// maxSamples is how many samples count: those of a few seconds at a busy service, so
+	// that a changed engine is learned within that time.
 	maxSamples = 300
-	// firstFitInterval and fitInterval are after how many samples the model is fitted: soon while
-	// little is known, then rarely enough to cost a thousandth of a core.
+	// firstFitInterval and fitInterval are the numbers of samples between two fits: few
+	// while little is known, then enough for fitting to cost a thousandth of a core.
 	firstFitInterval = 6
 	fitInterval      = 25
-	// noiseMS and noiseRatio are the spread of a sample: steps of the batch and the way,
-	// and what follows the length.
+	// noiseMS and noiseRatio describe the standard deviation of a sample: a constant part
+	// for the steps of a batch and the network, and a part proportional to its length.
 	noiseMS    = 10.0
 	noiseRatio = 0.1
-	// priorSpreadRatio is the prior's spread in times of its own figures.
+	// priorSpreadRatio is the standard deviation of the prior, as a multiple of its values.
 	priorSpreadRatio = 3.0
-	// outlier is the residual, in medians, from which a sample loses weight.
+	// outlierRatio is the residual, in medians, from which on a sample loses weight.
 	outlierRatio = 3.0
 	fitRounds    = 3
 	maxSampleMS  = 60_000.0 // milliseconds; a longer time is a fault, not a speed
@@ -34,9 +34,9 @@
 type Sample struct {
 	Prompt Prompt // the sum of what was read
 	MS     float64
-	// Whole is how many of the prompts found the engine with nothing to read, so that MS
-	// holds the whole time to their first event. Of the others it holds the time since the
-	// first event before.
+	// IdleStarts is how many of the prompts found the engine with nothing to read, so that
+	// MS contains the whole time to their first event. For the others it contains the time
+	// since the previous first event.
 	IdleStarts float64
 }
 
@@ -44,7 +44,7 @@
 	return [terms]float64{s.IdleStarts, s.Prompt.Tokens, s.Prompt.Pairs, s.Prompt.Fetched}
 }
 
-// The figures of a model in the order of the equations.
+// Indexes of the model's parameters in the equations.
 const (
 	termBase = iota
 	termToken
@@ -53,28 +53,28 @@
 	terms
 )
 
-// Learner fits a model to the latest samples by least squares in which outliers weigh
-// less. The zero value is not usable; see NewLearner.
+// Learner fits a model to the latest samples by least squares with reduced weights for
+// outliers. The zero value is not usable; see NewLearner.
 type Learner struct {
 	model    Model
 	prior    Model
 	samples  []Sample // a ring once it is full
 	next     int
 	seen     int
-	sinceFit int // since the last fit
+	sinceFit int // samples since the last fit
 }
 
-// NewLearner returns a learner that believes Prior.
+// NewLearner returns a learner whose model is Prior.
 func NewLearner() *Learner { return &Learner{model: Prior, prior: Prior} }
 
-// Model returns what is believed.
+// Model returns the current model.
 func (l *Learner) Model() Model { return l.model }
 
-// Seen returns how many samples were taken.
+// Seen returns the number of samples, including those behind an inherited model.
 func (l *Learner) Seen() int { return l.seen }
 
-// Inherit takes the model of a peer that has seen more. It is the prior of all later
-// fits, so that a router that has just become scheduler goes on from it.
+// Inherit adopts the model of a peer that has seen more samples. It becomes the prior of
+// all later fits, so that a new scheduler starts from it.
 func (l *Learner) Inherit(m Model, seen int) {
 	if seen <= l.seen || !m.usable() {
 		return
@@ -83,8 +83,8 @@
 	l.samples, l.next, l.sinceFit = l.samples[:0], 0, 0
 }
 
-// Add takes a sample. It reports whether the sample could be used: times that are
-// negative, not a number or beyond a minute are not.
+// Add adds a sample. It reports whether the sample is usable: times that are negative, not
+// a number or longer than a minute are not.
 func (l *Learner) Add(s Sample) bool {
 	if !(s.MS >= 0 && s.MS <= maxSampleMS) || !(s.Prompt.Tokens >= 0) {
 		return false
@@ -104,7 +104,7 @@
 	return true
 }
 
-// fit is ridge regression towards the prior, repeated with less weight for outliers.
+// fit is a ridge regression towards the prior, repeated with reduced weights for outliers.
 func (l *Learner) fit() {
 	weights := make([]float64, len(l.samples))
 	for i := range weights {
@@ -124,8 +124,8 @@
 	}
 }
 
-// solve returns the model of least weighted squares whose figures are not negative:
-// the most negative one is 0, and the others are found without it.
+// solve returns the weighted least squares solution without negative parameters: the most
+// negative parameter is set to 0, and the others are solved again without it.
 func (l *Learner) solve(weights []float64) (Model, bool) {
 	a, b := l.normalEquations(weights)
 	active := []int{termBase, termToken, termPair, termFetched}
@@ -143,7 +143,7 @@
 	return Model{}, true
 }
 
-// normal returns the normal equations of the samples and the prior.
+// normalEquations returns the normal equations of the samples and the prior.
 func (l *Learner) normalEquations(weights []float64) (*mat.SymDense, *mat.VecDense) {
 	a, b := mat.NewSymDense(terms, nil), mat.NewVecDense(terms, nil)
 	for j, p := range []float64{l.prior.Base, l.prior.PerToken, l.prior.PerPair, l.prior.PerFetched} {
@@ -164,10 +164,10 @@
 	return a, b
 }
 
-// minPriorValue keeps a prior of 0 from being certain.
+// minPriorValue keeps a prior value of 0 from having a standard deviation of 0.
 var minPriorValue = [terms]float64{termBase: 1, termToken: 1e-3, termPair: 1e-2, termFetched: 1e-4}
 
-// solveActive solves the equations of some of the figures; the others are 0.
+// solveActive solves the equations for the active parameters; the others are 0.
 func solveActive(a *mat.SymDense, b *mat.VecDense, active []int) ([]float64, bool) {
 	part, right := mat.NewSymDense(len(active), nil), mat.NewVecDense(len(active), nil)
 	for i, j := range active {
@@ -182,7 +182,7 @@
 	}
 	x := mat.NewVecDense(len(active), nil)
 	if err := c.SolveVecTo(x, right); err != nil {
-		return nil, false // too badly conditioned to be believed
+		return nil, false // too badly conditioned to be trusted
 	}
 	return x.RawVector().Data, true
 }
@@ -195,7 +195,7 @@
 	return Model{Base: all[termBase], PerToken: all[termToken], PerPair: all[termPair], PerFetched: all[termFetched]}
 }
 
-// reweigh gives samples far from the model less weight (Huber).
+// reweigh reduces the weights of samples far from the model (Huber).
 func (l *Learner) reweigh(weights []float64, m Model) {
 	off := make([]float64, len(l.samples))
 	for i, s := range l.samples {
--- a/internal/dispatch/prefill/queue.go
+++ b/internal/dispatch/prefill/queue.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// Queue follows the prompts that one engine has to read, in order of arrival: when
-// each will have been read, corrected by each first event.
+// Queue models the prompts that one engine has to read, in order of arrival, and when each
+// will have been read. It is corrected by each first event.
 //
-// Counting tokens that have no first event is not enough: an engine that needs 50 ms
-// beyond reading seems to have a backlog though it reads nothing.
+// Counting tokens without a first event is not enough: an engine that needs 50 ms beyond
+// reading would seem to have a backlog though it has nothing to read.
 type Queue struct {
 	entries        []*Entry
-	headStart      time.Time // the head has been read from then on at the earliest
-	lastFirstEvent time.Time // of the latest first event
+	headStart      time.Time // earliest time from which the head can have been read
+	lastFirstEvent time.Time // latest first event
 	sample         Sample    // what was read since the engine last had nothing to read
 	slow           slowness
 
-	// What follows from the entries, for a model.
+	// The following values are computed from the entries for one model.
 	model    Model
 	stale    bool
 	headDone time.Time // when the head will have been read
-	allDone  time.Time // when the last one will have been read
+	allDone  time.Time // when the last entry will have been read
 }
 
 // Entry is one prompt in a queue.
 type Entry struct {
 	prompt  Prompt
 	placed  time.Time
-	suspect bool // what is heard of it tells nothing of the engine
+	suspect bool // its times say nothing about the engine
 }
 
-// Doubt says that an entry's times are not the engine's: whoever sends it is late.
+// MarkSuspect marks the times of an entry as not caused by the engine, because the router
+// that sends the request is overloaded.
 func (e *Entry) MarkSuspect() { e.suspect = true }
 
-// Doubted reports whether Doubt was called.
+// IsSuspect reports whether MarkSuspect was called.
 func (e *Entry) IsSuspect() bool { return e.suspect }
 
-// Slow returns the engine's own times against the service's: 1 is normal.
+// Slow returns the engine's times as a ratio of the service's; 1 is normal.
 func (q *Queue) Slow(m Model, now time.Time) float64 { return q.slow.factor(m, now) }
 
-// Model returns the model by which the queue was last reckoned.
+// Model returns the model that was used last.
 func (q *Queue) Model() Model { return q.model }
 
-// Len returns how many prompts have no first event.
+// Len returns the number of prompts without a first event.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Wait returns the milliseconds until the engine would begin to read a further prompt.
-// A head whose first event is overdue holds up all behind it, unless it is in doubt.
+// Wait returns the time until the engine would begin to read a further prompt, in
+// milliseconds. A head whose first event is overdue delays all prompts behind it, unless it
+// is suspect.
 func (q *Queue) Wait(m Model, now time.Time) float64 {
 	if len(q.entries) == 0 {
 		return max(0, millis(q.headStart.Sub(now)))
@@ -56,7 +58,7 @@
 	return max(0, millis(q.allDone.Sub(now))) + q.Overdue(m, now)
 }
 
-// Overdue returns for how many milliseconds the head's first event has been missing.
+// Overdue returns for how long the head's first event has been overdue, in milliseconds.
 func (q *Queue) Overdue(m Model, now time.Time) float64 {
 	if len(q.entries) == 0 || q.entries[0].suspect {
 		return 0
@@ -67,15 +69,16 @@
 }
 
 const (
-	// overdueBaseFactor is how many times the base may pass before a first event is overdue.
+	// overdueBaseFactor is the multiple of the base time after which a first event is
+	// overdue.
 	overdueBaseFactor = 1.5
-	// maxOverdueMS bounds what one silent prompt says of an engine, in milliseconds; a
-	// longer silence ends the attempt.
+	// maxOverdueMS limits the delay that one silent prompt adds to an engine, in
+	// milliseconds; a longer silence ends the attempt.
 	maxOverdueMS = 1000.0
 )
 
-// reckon works out when prompts will have been read, by the model as it is now: what was
-// placed while the model was wrong is expected by the right one.
+// recompute computes when the prompts will have been read, by the model as it is now:
+// prompts that were placed while the model was wrong are expected by the corrected one.
 func (q *Queue) recompute(m Model, now time.Time) {
 	if !q.stale && m == q.model {
 		return
@@ -102,7 +105,7 @@
 	return e
 }
 
-// First takes a prompt out: its first event came so many milliseconds after it was
+// FirstEvent removes a prompt whose first event came gotMS milliseconds after it was
 // placed. It returns a sample for the learner when there is one.
 func (q *Queue) FirstEvent(e *Entry, gotMS float64, m Model, now time.Time) (Sample, bool) {
 	i := slices.Index(q.entries, e)
@@ -121,13 +124,13 @@
 	return out, ok
 }
 
-// observe adds a first event to the time in which the engine has been reading. It
-// returns that time as a sample when it is long enough, or when the engine had nothing
-// to read in between.
+// observe adds a first event to the time in which the engine has been reading. It returns
+// that time as a sample when it is long enough, or when the engine had nothing to read in
+// between.
 //
-// Prompts of one step of the batch are read together, so that their first events come
-// at once, 20 ms after those before. Taken one by one such times would make reading seem
-// faster than it is, and waits behind long prompts too short.
+// Prompts of one step of the batch are read together, so that their first events come at
+// once, 20 ms after the previous ones. Taken individually, such times would make reading
+// seem faster than it is, and the waits behind long prompts too short.
 func (q *Queue) observe(e *Entry, at time.Time, gotMS float64, m Model, now time.Time) (Sample, bool) {
 	idle := !q.lastFirstEvent.After(e.placed.Add(duration(m.Base)))
 	var out Sample
@@ -155,12 +158,11 @@
 	return s
 }
 
-// minSampleMS is the time in which an engine read that makes one sample: several steps of a
-// batch.
+// minSampleMS is the reading time that makes up one sample: several steps of a batch.
 const minSampleMS = 100.0
 
-// Drop takes a prompt out that has ended without a first event; if it was being read,
-// the next one is from now on.
+// Drop removes a prompt that has ended without a first event. If it was being read, reading
+// of the next one starts now.
 func (q *Queue) Drop(e *Entry, now time.Time) {
 	i := slices.Index(q.entries, e)
 	if i < 0 {
@@ -172,8 +174,8 @@
 	q.remove(i)
 }
 
-// Settle takes a prompt out of which nothing can be believed but that it was placed: it
-// has been read when it was expected to be.
+// CompleteAsExpected removes a prompt about which nothing reliable is known except that it
+// was placed: it is taken to have been read when expected.
 func (q *Queue) CompleteAsExpected(e *Entry, m Model, now time.Time) {
 	i := slices.Index(q.entries, e)
 	if i < 0 {
--- a/internal/dispatch/prefill/slow.go
+++ b/internal/dispatch/prefill/slow.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// slowness is one engine's times against the service's model, as a ratio of sums, so
-// that long prompts, whose times say most, weigh most. What was expected is kept as
-// what there was to do, so that a model that has just been learned is not corrected
-// for the errors of the one before.
+// slowness is the ratio of one engine's times to those expected by the service's model. It
+// is a ratio of sums, so that long prompts, which tell most, have the most weight. The
+// expected side is kept as work, not as time, so that after the model has been corrected an
+// engine is not held to the errors of the old one.
 type slowness struct {
-	observedMS float64 // milliseconds, older ones counting less
-	idleStarts float64 // samples with the whole time to a first event
+	observedMS float64 // milliseconds; older samples count less
+	idleStarts float64 // number of samples with the whole time to a first event
 	prompt     Prompt  // sum of what was read
 	lastSample time.Time
 }
 
 const (
-	// slowDecay is what is left of a sum with each sample: some ten samples count.
+	// slowDecay is the factor by which each sample reduces the sums, so that about ten
+	// samples count.
 	slowDecay = 0.9
-	// slowPriorMS is milliseconds at the normal speed that are taken as seen.
+	// slowPriorMS is the time in milliseconds that is taken as observed at normal speed.
 	slowPriorMS = 60.0
 	minSlow     = 0.5
 	maxSlow     = 12.0
-	// slowHalfLife is how fast a slowness that is not seen again is forgotten, so that
+	// slowHalfLife is how fast slowness that is not observed again is forgotten, so that
 	// the engine is tried again.
 	slowHalfLife = 3 * time.Second
 )
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -8,77 +8,77 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Reports say once a second what this router's decisions rest on, for the log: how the
-// organisations stand to each other, what is believed of the engines, and what was
-// decided without the scheduler. They change nothing.
+// Reports log the inputs of this router's decisions once a second: the use of shares by
+// organisations, the model of the engines, and the local decisions. They have no effect on
+// decisions.
 
 const (
 	reportInterval = time.Second
-	// maxReportedOrgs bounds the organisations in one report, from either end.
+	// maxReportedOrgs limits the organisations in one report, at either end of the order.
 	maxReportedOrgs = 3
 )
 
-// ShareReport is how one organisation stands at a service that this router schedules,
-// in tokens of the window in which shares are counted.
+// ShareReport is one organisation's use of its share at a service that this router
+// schedules, in tokens of the window in which shares are counted.
 type ShareReport struct {
 	Service, Org             string
 	Asked, Got, Begun, Share int
-	UnmetSeconds             int  // the latest, one after the other, in which it asked for more than it got
+	UnmetSeconds             int  // latest consecutive seconds in which it requested more than it was granted
 	Waits                    bool // others that have had much more are held back for it
 }
 
-// EngineReport is what this router believes of the engines in use of a service that it
-// schedules: the parts of the wait at the least busy engine and at the median one.
+// EngineReport is what this router expects of the engines in use of a service that it
+// schedules: the components of the wait at the least busy and at the median engine.
 type EngineReport struct {
 	Service       string
 	Engines       int // in use
 	All           int
 	Least, Median WaitParts
-	BusyPercent   int // of the engines' time that is taken by reading that was placed lately
+	BusyPercent   int // of the engines' time, taken up by recently placed reading
 }
 
-// WaitParts is the expected wait at one engine.
+// WaitParts is the expected wait at one engine and its components.
 type WaitParts struct {
 	WaitMS    int // until a further prompt would be read
-	OverdueMS int // of that, since its first event was expected
-	StatedMS  int // of that, what routers state beyond what was placed here
+	OverdueMS int // of that, since its first event was due
+	StatedMS  int // of that, load stated by routers beyond what was placed here
 	Unread    int // prompts placed here without a first event
 	Slow      float64
 }
 
-// LocalDecisionReport is what this router decided without the scheduler for one organisation.
+// LocalDecisionReport counts this router's local decisions for one organisation.
 type LocalDecisionReport struct {
 	Service, Org    string
 	Placed, Refused int // requests
 	PlacedTokens    int
-	ShedTokens      int    // refused at the door
-	Share           uint32 // hundredths of its share that it has had, by the scheduler's last word
-	ShareAgeMS      int    // of that word, -1 when there is none
-	AdmittedPercent int    // of what comes in here, by the door while this router is short of processor
+	ShedTokens      int    // refused by load shedding
+	Share           uint32 // percentage of its share that it has used, by the scheduler's latest update
+	ShareAgeMS      int    // age of that update, -1 without one
+	AdmittedPercent int    // of the requests that arrive here, by load shedding while this router is short of CPU
 }
 
 func (ShareReport) output()         {}
 func (EngineReport) output()        {}
 func (LocalDecisionReport) output() {}
 
-// alone counts decisions without the scheduler between two reports.
+// localDecisions counts local decisions between two reports.
 type localDecisions struct {
 	placed, refused int
 	tokens, shed    float64
 }
 
-// reports is the state of the reports.
+// reports is the state of periodic reporting.
 type reports struct {
 	due            time.Time
 	localDecisions map[serviceOrg]localDecisions
-	orgNames       map[version.ID]string // of the organisations of the table
+	orgNames       map[version.ID]string // of the organisations in the routing table
 }
 
 func newReports() reports {
 	return reports{localDecisions: map[serviceOrg]localDecisions{}, orgNames: map[version.ID]string{}}
 }
 
-// setNames keeps the names behind the organisations' IDs.
+// setNames keeps the names of the organisations by ID.
 func (r *reports) setNames(c Catalogue) {
 	clear(r.orgNames)
 	for _, o := range c.Table.Organisations() {
@@ -103,7 +103,7 @@
 	r.localDecisions[k] = a
 }
 
-// tickReports writes the reports when they are due.
+// tickReports outputs the reports that are due.
 func (n *Node) tickReports(now time.Time) {
 	if now.Before(n.reports.due) {
 		return
@@ -147,8 +147,8 @@
 	clear(n.reports.localDecisions)
 }
 
-// reportShares tells of the organisations that asked for more than they got: those that
-// are furthest over their shares and those that are furthest under them.
+// reportShares reports on organisations that requested more than their shares: those
+// furthest over their shares and those furthest below them.
 func (n *Node) reportShares(p *pool, now time.Time) {
 	p.meter.updateShares(now)
 	var orgs []version.ID
--- a/internal/dispatch/ring.go
+++ b/internal/dispatch/ring.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// steps divides time into steps and numbers the last few of them as in a ring, for
-// sums over a sliding window.
+// ring divides time into steps and maps the latest size steps to the slots of a ring
+// buffer, for sums over a sliding window.
 type ring struct {
 	interval time.Duration
 	size     int
 	now      int64
 }
 
-// place returns the place in the ring of the step so many steps before the present one.
+// slot returns the slot of the step that is age steps before the current one.
 func (s *ring) slot(age int64) int {
 	size := int64(s.size)
 	return int(((s.now-age)%size + size) % size)
 }
 
-// advance moves to the step of a time and returns its place in the ring. It calls
-// empty for each place whose step has left the window.
-func (s *ring) advance(now time.Time, empty func(place int)) int {
+// advance moves to the step that contains now and returns its slot. It calls empty for each
+// slot whose step has left the window.
+func (s *ring) advance(now time.Time, empty func(slot int)) int {
 	step := now.UnixNano() / int64(s.interval)
 	size := int64(s.size)
 	for gone := min(step-s.now, size); gone > 0; gone-- {
--- a/internal/dispatch/roundtrip.go
+++ b/internal/dispatch/roundtrip.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// roundTrip follows how long the scheduler's answers take until they are read here, late
-// ones too, as TCP does for its retransmissions (RFC 6298), and says how long to wait for
-// one.
+// roundTrip estimates how long it takes until the scheduler's replies are read here, late
+// ones included, as TCP does for its retransmissions (RFC 6298), and derives how long to
+// wait for a reply.
 //
-// Load pattern: a router that is short of processor reads answers 70 ms after it asked.
-// Giving up after 45 ms it used none of them: the scheduler placed for its callers what was
-// never sent, counted it for them, and the router refused them for having had their share.
+// Load pattern: a router that is short of CPU reads replies 70 ms after its requests. With
+// a fixed timeout of 45 ms it used none of them: the scheduler placed requests for its
+// callers that were never sent, counted them as used, and the router then refused those
+// callers for having used up their shares.
 type roundTrip struct {
 	mean, deviation time.Duration
 }
 
-// Weights of one answer in the averages.
+// Weights of one reply in the averages.
 const (
 	roundTripWeight = 8
 	deviationWeight = 4
-	// deviations are how many times the deviation an answer may take beyond the mean.
+	// deviationFactor is how many times the mean deviation a reply may take beyond the
+	// mean.
 	deviationFactor = 4
 )
 
@@ -27,27 +29,29 @@
 	r.deviation += (off.Abs() - r.deviation) / deviationWeight
 }
 
-// timeout is how long to wait for an answer.
+// timeout is how long to wait for a reply.
 func (r *roundTrip) timeout() time.Duration {
 	return min(max(r.mean+deviationFactor*r.deviation, askGiveUp), askMost)
 }
 
-// again is how long to wait before an ask is repeated: until then the answer is expected.
+// resendDelay is how long to wait before a placement request is sent again: until then the
+// reply is expected.
 func (r *roundTrip) resendDelay() time.Duration {
 	return min(max(r.mean+deviationFactor*r.deviation, askAgain), askMost)
 }
 
-// timedOutRequest is an ask whose answer did not come in time.
+// timedOutRequest is a placement request that was not answered in time.
 type timedOutRequest struct {
 	try         uint32
 	requestedAt time.Time
 }
 
-// timedOutRequestTTL is how long an answer to it still tells how late answers are.
+// timedOutRequestTTL is how long a late reply to such a request still counts for the
+// estimate.
 const timedOutRequestTTL = time.Second
 
-// patience is how long a request waits for its scheduler's answer: no longer than half
-// of what is left until its answer would be late.
+// replyTimeout is how long a request waits for its scheduler's reply: at most half of the
+// time left to its target, but never less than the minimum timeout.
 func (n *Node) replyTimeout(f *inflightRequest) time.Duration {
 	wait := n.trip.timeout()
 	if left := f.req.Aim.Sub(f.requestedAt) / 2; wait > left {
@@ -56,7 +60,7 @@
 	return wait
 }
 
-// recordReplyTime notes the time of an answer, in time or late.
+// recordReplyTime counts the time of a reply, whether it came in time or late.
 func (n *Node) recordReplyTime(no uint64, try uint32, f *inflightRequest, now time.Time) {
 	if late, known := n.gaveUp[no]; known && late.try == try {
 		delete(n.gaveUp, no)
@@ -68,7 +72,7 @@
 	}
 }
 
-// expireTimedOutRequests forgets asks whose answers will not come any more.
+// expireTimedOutRequests forgets requests whose replies are no longer expected.
 func (n *Node) expireTimedOutRequests(now time.Time) {
 	for no, g := range n.gaveUp {
 		if now.Sub(g.requestedAt) >= timedOutRequestTTL {
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -27,10 +27,10 @@
 	return out
 }
 
-// Role is what this router does for others.
+// Role is what this router does for other routers.
 type Role struct {
 	Schedules  []string `json:"schedules"` // services
-	Relays     bool     `json:"relays"`    // passes news of the store on to its place
+	Relays     bool     `json:"relays"`    // passes updates of the store's content on to the routers of its place
 	ReadsStore bool     `json:"reads_store"`
 }
 
@@ -46,7 +46,7 @@
 	return r
 }
 
-// UpstreamState is one upstream as this router models it.
+// UpstreamState is the state of one upstream in this router's model.
 type UpstreamState struct {
 	Service  string `json:"service"`
 	ID       string `json:"id"`
@@ -54,11 +54,11 @@
 	Place    string `json:"place"`
 	Draining bool   `json:"draining"`
 	Ejected  bool   `json:"resting"`
-	// BackoffMS is how much longer the upstream wants nothing of this router.
+	// BackoffMS is how much longer the upstream accepts nothing from this router.
 	BackoffMS int  `json:"backoff_ms"`
 	Evacuated bool `json:"evacuated"`
 	InUse     bool `json:"in_use"` // it is in the working set
-	// Cold is nil for one that is not believed to be cold.
+	// Cold is nil unless the upstream is taken for cold.
 	Cold       *ColdUpstream `json:"cold,omitempty"`
 	Running    int           `json:"running"`
 	BacklogMS  int           `json:"backlog_ms"`
@@ -66,10 +66,10 @@
 	Slow       float64       `json:"slow"`
 }
 
-// ColdUpstream is what is believed of a cold upstream, and what this router places there.
+// ColdUpstream is the state of a cold upstream, and what this router places there.
 type ColdUpstream struct {
 	ForMS   int    `json:"for_ms"`
 	Why     string `json:"why"`
-	Allowed int    `json:"allowed_per_second"` // 0 at a router that does not schedule
+	Allowed int    `json:"allowed_per_second"` // 0 at a router that is not the scheduler
 	Placed  int    `json:"placed_in_last_second"`
 }
--- a/internal/dispatch/undercapacity.go
+++ b/internal/dispatch/undercapacity.go
@@ -6,26 +6,31 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Engines may serve less than is stated. Nobody comes to its share then, and what decides is
-// the max-min part of what is really given out.
+// Engines may serve less than the stated capacity. No organisation reaches its share then,
+// and decisions use the max-min shares of what is actually granted.
 //
-// Load pattern: engines at five eighths of what is stated, prompts of half a second, a small
-// organisation and one that sends ten times as much. Each engine that came free went to
-// whoever came next, and the small one, at a third of its share, was refused as often.
+// Load pattern: engines at five eighths of the stated capacity, prompts of half a second, a
+// small organisation and one that sends ten times as much. Each free engine went to the
+// next request to arrive, and the small organisation, at a third of its share, was refused
+// as often as the other.
 
 const (
-	// minRefusedRatio is the part of what was placed in the window that has to be refused for the
-	// wait, of organisations under their shares, for engines to serve less than is stated.
+	// minRefusedRatio is the ratio of tokens refused because of the wait, to organisations
+	// under their shares, to tokens granted in the window above which engines are taken to
+	// serve less than the stated capacity.
 	minRefusedRatio = 0.2
-	// maxGrantedRatio is how many times its part of what is given out an organisation may have
-	// had before others go first. Nobody is held back where all have had about the same.
+	// maxGrantedRatio is how many times its share of what is granted an organisation may
+	// have used before others go first. Nobody is held back where all have been granted
+	// about the same.
 	maxGrantedRatio = 1.25
-	// minYieldOver is the part of its share under which nobody is held back: the first to be
-	// served after an outage has had more than its part of next to nothing.
+	// minYieldOver is the use of its share below which an organisation is never held back:
+	// after an outage, the first to be served has used more than its share of next to
+	// nothing.
 	minYieldOver = 0.25
 )
 
-// updateGrantedShares cuts what was given out in the window while engines serve less than is stated.
+// updateGrantedShares divides what was granted in the window while engines serve less than
+// the stated capacity.
 func (m *meter) updateGrantedShares(demands []demand) {
 	got, refusedUnderShare := 0.0, 0.0
 	for _, u := range m.orgs {
@@ -38,8 +43,8 @@
 	}
 }
 
-// aboveGrantedShare reports whether an organisation has had so much more than its part of what is
-// given out that the others go first.
+// aboveGrantedShare reports whether an organisation has used so much more than its share of
+// what is granted that others go first.
 func (m *meter) aboveGrantedShare(org version.ID, now time.Time) bool {
 	m.updateShares(now)
 	part, short := m.grantedShares[org]
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -6,12 +6,12 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// urgency is the priorities in use at a service, most urgent (the least number)
-// first.
+// urgency lists the priorities in use at a service, the most urgent one (the smallest
+// number) first.
 type urgency []int
 
 // urgencyOf collects the priorities of the routes that lead to a service and of the
-// organisations, whose own priority goes before the route's.
+// organisations. An organisation's own priority takes precedence over the route's.
 func urgencyOf(t *routing.Table, service string) urgency {
 	var u urgency
 	for _, r := range t.Routes {
@@ -30,7 +30,7 @@
 	return slices.Compact(u)
 }
 
-// rank is how many more urgent priorities are in use.
+// rank is the number of more urgent priorities in use.
 func (u urgency) rank(priority int) int {
 	for i, p := range u {
 		if priority <= p {
--- a/internal/dispatch/workingset.go
+++ b/internal/dispatch/workingset.go
@@ -9,33 +9,34 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// The working set. Of a service's upstreams in a place some are in use: they were given work
-// a short while ago. All others are known by their entries alone: nobody reads what they
-// keep, and no connection is held to them. One of them is among those that each decision
-// looks at, so that the set grows by as many requests as come, at once, and it shrinks slowly.
+// The working set is the upstreams of a service in a place that were given requests
+// recently. All others are known only by their entries in the store: their caches are not
+// followed, and no connections are kept to them. One upstream outside the set is a
+// candidate in each decision, so that the set grows at once with the load; it shrinks
+// slowly.
 //
 // Load pattern: thousands of engines, 98 of 100 idle, and a thousand requests a second that
-// share parts. Strewn over all engines, shared parts are read again at each, and decisions
-// that look at all take the whole of the scheduler's processor.
+// share prompt parts. If requests are spread over all engines, each engine reads the shared
+// parts again, and decisions that compare all engines take up the scheduler's whole CPU.
 
-// workingSetIdleTimeout is how long an upstream stays in the working set without work: a few times as
-// long as shared parts of prompts are asked for again.
+// workingSetIdleTimeout is how long an upstream stays in the working set without requests:
+// a few times as long as it takes until shared prompt parts are requested again.
 const workingSetIdleTimeout = 20 * time.Second
 
-// notInUse is the place in the working set of an upstream outside it.
+// notInUse is the index of an upstream that is not in the working set.
 const notInUse = -1
 
-// placeSet is the upstreams of one service in one place.
+// placeSet holds the upstreams of one service in one place.
 type placeSet struct {
 	id         version.ID
 	name       string
-	all        []*upstream // by ID
+	all        []*upstream // sorted by ID
 	inUse      []*upstream
-	nextInUse  int // of inUse: where the next look begins
-	nextUnused int // of all: where the next upstream that is not in use is looked for
+	nextInUse  int // index in inUse where the next decision starts
+	nextUnused int // index in all where the next search for an unused upstream starts
 }
 
-// placeSetOf returns the set of a place.
+// placeSetOf returns the set of a place, creating it if needed.
 func (p *pool) placeSetOf(name string) *placeSet {
 	id := version.IDOf(name)
 	set := p.places[id]
@@ -57,7 +58,7 @@
 	s.all = removeSorted(s.all, u)
 }
 
-// touch notes that an upstream is used.
+// markUsed records a use of an upstream and adds it to the working set.
 func (u *upstream) markUsed(now time.Time) {
 	u.used = now
 	if u.inUse != notInUse || u.set == nil {
@@ -67,7 +68,7 @@
 	u.set.inUse = append(u.set.inUse, u)
 }
 
-// leave takes an upstream out of the working set.
+// retire removes an upstream from the working set.
 func (s *placeSet) retire(u *upstream) {
 	if u.inUse == notInUse {
 		return
@@ -79,7 +80,7 @@
 	u.inUse = notInUse
 }
 
-// shrink takes those out of the working set that had no work for long.
+// shrink removes upstreams without recent requests from the working set.
 func (s *placeSet) shrink(now time.Time) {
 	for i := len(s.inUse) - 1; i >= 0; i-- {
 		if u := s.inUse[i]; u.running() == 0 && now.Sub(u.used) >= workingSetIdleTimeout {
@@ -88,7 +89,7 @@
 	}
 }
 
-// inUse returns the upstreams in use; in a small pool all are taken for that.
+// inUse returns the working set; in a small pool it is all upstreams.
 func (p *pool) inUse() []*upstream {
 	if p.isSmall() {
 		return p.order
@@ -100,7 +101,7 @@
 	return out
 }
 
-// sortedPlaces returns the places, sorted.
+// sortedPlaces returns the places sorted by ID.
 func (p *pool) sortedPlaces() []*placeSet {
 	if p.placeOrder == nil {
 		p.placeOrder = slices.SortedFunc(maps.Values(p.places), func(a, b *placeSet) int { return cmp.Compare(a.id, b.id) })
@@ -110,13 +111,13 @@
 
 func compareID(a *upstream, id version.ID) int { return cmp.Compare(a.id, id) }
 
-// inserted adds an upstream to a list that is sorted by ID.
+// insertSorted adds an upstream to a list that is sorted by ID.
 func insertSorted(list []*upstream, u *upstream) []*upstream {
 	i, _ := slices.BinarySearchFunc(list, u.id, compareID)
 	return slices.Insert(list, i, u)
 }
 
-// removed takes an upstream out of a list that is sorted by ID.
+// removeSorted removes an upstream from a list that is sorted by ID.
 func removeSorted(list []*upstream, u *upstream) []*upstream {
 	if i, found := slices.BinarySearchFunc(list, u.id, compareID); found {
 		return slices.Delete(list, i, i+1)
