--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -13,8 +13,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Two engines that read 30 tokens a millisecond, and twice as much is asked. First
-// events come when such engines would have them.
+// Two engines read 30 tokens a millisecond each, and twice as much is requested. First
+// events come when such engines would produce them.
 func TestOrganisationOverItsShareIsRefusedFirst(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -73,10 +73,11 @@
 	assert.InDelta(t, 1.0, m.over(2, start), 0.001)
 	assert.InDelta(t, 2.0, m.over(3, start), 0.001)
 	later := start.Add(5 * time.Second)
-	assert.Zero(t, m.over(3, later), "the window has passed")
+	assert.Zero(t, m.over(3, later), "the window is over")
 }
 
-// What waits for a patient route makes the others wait too.
+// A long wait accepted for a route with a lenient target would delay requests of routes
+// with stricter targets at the same engine.
 func TestWaitLimitFollowsStrictestTarget(t *testing.T) {
 	b := routing.Builder{Number: 1, Services: []*routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, MemoryTokens: 200_000}}}}
 	for i, ms := range []int{1000, 600, 800} {
@@ -93,8 +94,8 @@
 	assert.InDelta(t, 0.6*patient, p.waitLimit(a, &choice{}, 0), 1)
 }
 
-// A stream whose upstream broke was refused another
-// for the wait there, and cut.
+// A stream whose upstream had failed was refused another one because of the wait there, and
+// was cut.
 func TestRetriedRequestIsNotRefusedForTheWait(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -111,8 +112,8 @@
 	assert.True(t, refused, "a new request would wait too long")
 }
 
-// Two organisations were both so far over their
-// shares that they might wait equally long, and the one that sent more got most.
+// Two organisations far over their shares were allowed the same wait, so that the one that
+// sent more requests got most.
 func TestWaitLimitFallsWithUseBeyondShare(t *testing.T) {
 	p := newPool(&routing.Service{Name: "s", Engine: &routing.Engine{Slots: 64, MemoryTokens: 200_000}}, 1000)
 	for org := range uint32(10) {
@@ -129,8 +130,8 @@
 	assert.Greater(t, limits[1600], 1.5*limits[3200])
 }
 
-// Where routes of one service differ in priority, the more urgent ones are served
-// more often when there is not room for all.
+// Where routes of one service differ in priority, the more urgent ones are served more
+// often while there is not room for all.
 func TestUrgentRequestsMayWaitLonger(t *testing.T) {
 	one := 1
 	b := routing.Builder{Number: 2, Services: []*routing.Service{{Name: engines, Engine: &routing.Engine{Slots: 64, MemoryTokens: 200_000}}, {Name: counter}}}
@@ -156,8 +157,8 @@
 	assert.InDelta(t, limit(0), limit(2), 0.01, "one priority alone changes nothing")
 }
 
-// However far an organisation is over its share, it is served while an engine has
-// nothing to read, whatever that costs.
+// However far an organisation is over its share, it is served while an engine has nothing
+// to read, whatever the other costs of that engine.
 func TestIdleEngineAcceptsOrganisationOverItsShare(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	id := f.order[0]
@@ -166,16 +167,17 @@
 	p.meter.addRequest(version.IDOf("flood"), 390_000*40, f.now)
 	p.meter.addGrant(version.IDOf("flood"), 390_000*20, f.now)
 	require.Greater(t, p.meter.over(version.IDOf("flood"), f.now), 5.0)
-	f.nodes[id].place = version.IDOf("elsewhere") // and it keeps no connection there
+	f.nodes[id].place = version.IDOf("elsewhere") // where the router keeps no connection either
 	f.arrive(id, 1, engines, "flood", 3000)
 	f.placed(id, 1)
 	f.arrive(id, 2, engines, "flood", 3000)
 	_, refused := f.got[id][2].(Refuse)
-	assert.True(t, refused, "behind the first one it would wait")
+	assert.True(t, refused, "it would have to wait behind the first request")
 }
 
-// Engines served two fifths of what was stated, nobody came to its share, and all were
-// allowed the same wait: the flood kept it at that limit for everyone.
+// Engines served two fifths of the stated capacity, so that nobody reached its share, and
+// all organisations were allowed the same wait: a flood kept the wait at that limit for
+// everyone.
 func TestWaitRatioFallsTowardsShare(t *testing.T) {
 	last := maxWaitRatio
 	assert.Equal(t, last, waitRatio(0))
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -10,14 +10,14 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// handleRetryAfter lets an upstream ask a router for rest.
+// retryAfter delivers an upstream's Retry-After to a router.
 func (f *fleet) retryAfter(id wire.NodeID, upstream string, d time.Duration) {
 	f.nodes[id].Step(RetryAfter{Instance: f.instanceOf(id, upstream), For: d}, f.now)
 	f.deliver()
 }
 
-// The scheduler placed requests of a router at an upstream that had asked that router for
-// rest.
+// The scheduler placed requests of a router at an upstream that had requested a backoff
+// from that router.
 func TestBackoffAppliesOnlyToTheRouterThatReceivedIt(t *testing.T) {
 	for _, service := range []string{engines, counter} {
 		f := newFleet(t, 3, 2)
@@ -34,7 +34,7 @@
 				p := f.placed(from, no)
 				at := p.Instance.ID
 				if service == engines {
-					assert.Equal(t, f.scheduler(), p.By, "it is told, and need not be overruled")
+					assert.Equal(t, f.scheduler(), p.By, "the scheduler knows of the backoff, and its placement is used")
 				}
 				if from == id {
 					assert.Equal(t, second, at)
@@ -56,11 +56,11 @@
 			f.arrive(id, no, service, "a", 200)
 			seen[f.placed(id, no).Instance.ID] = true
 		}
-		assert.True(t, seen[first], "%s: the time is over", service)
+		assert.True(t, seen[first], "%s: the backoff has expired", service)
 	}
 }
 
-// A request that failed elsewhere was sent to the upstream that rests.
+// A request that had failed elsewhere was sent to an upstream in backoff.
 func TestRetryAvoidsUpstreamInBackoff(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
@@ -75,7 +75,7 @@
 	assert.Equal(t, ReasonBackoff, r.Reason)
 }
 
-// Of upstreams that all wanted rest one was tried rather than none.
+// When all upstreams were in backoff, one of them was tried all the same.
 func TestAllUpstreamsInBackoffRefuseUntilTheFirstExpires(t *testing.T) {
 	for _, service := range []string{engines, counter} {
 		f := newFleet(t, 3, 2)
@@ -83,7 +83,7 @@
 		ups := map[string][2]string{engines: {"e0", "e1"}, counter: {"c0", "c1"}}[service]
 		f.retryAfter(id, ups[0], 700*time.Millisecond)
 		f.retryAfter(id, ups[1], 5*time.Second)
-		f.retryAfter(id, "c0", 300*time.Millisecond) // of the one service shorter, of the other no news
+		f.retryAfter(id, "c0", 300*time.Millisecond) // shorter for the plain service, without meaning for the engines
 		f.arrive(id, 1, service, "a", 200)
 		r, refused := f.got[id][1].(Refuse)
 		require.True(t, refused)
@@ -95,7 +95,7 @@
 	}
 }
 
-// The scheduler's answer was on its way when the upstream asked for rest.
+// The scheduler's reply was on its way when the upstream requested the backoff.
 func TestPlacementReplyIsRejectedDuringBackoff(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	id := f.other()
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -21,9 +21,9 @@
 	assert.Zero(t, b.ratio(0, start.Add(3*time.Second)))
 }
 
-// One organisation floods engines that read little of the time: it gets what is over.
-// Once they read more than half, it gets no more, though no engine has a queue; who is
-// under its share does.
+// One organisation floods engines that are reading for a small fraction of their time, and
+// gets the spare capacity. Once they read for more than half of the time, it gets no more,
+// though no engine has a queue; an organisation under its share does.
 func TestFloodIsRefusedWhileEnginesAreBusy(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -40,7 +40,7 @@
 		if _, placed := f.got[id][no].(Place); !placed {
 			return false
 		}
-		after := 125 * time.Millisecond // as the model has it from the start
+		after := 125 * time.Millisecond // by the initial model
 		f.run(after.Round(TickEvery))
 		f.nodes[id].Step(First{ID: no, After: after}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.NoteDone}, f.now)
--- a/internal/dispatch/conns_test.go
+++ b/internal/dispatch/conns_test.go
@@ -17,13 +17,13 @@
 	assert.True(t, c.kept("a", start.Add(time.Second)))
 	assert.False(t, c.kept("b", start))
 	c.use("a", start.Add(time.Second))
-	assert.True(t, c.kept("a", start.Add(time.Second)), "the first one is left")
-	assert.False(t, c.kept("a", start.Add(connIdleTTL)), "and was closed")
+	assert.True(t, c.kept("a", start.Add(time.Second)), "the first connection remains")
+	assert.False(t, c.kept("a", start.Add(connIdleTTL)), "it has been closed")
 	c.use("a", start.Add(connIdleTTL))
 	assert.Empty(t, c.until["a"])
 }
 
-// Of two engines that are alike, a request goes where its router keeps a connection.
+// Of two equal engines, a request goes to the one to which its router keeps a connection.
 func TestKeptConnectionsArePreferred(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -32,10 +32,10 @@
 		u.conns.release(id, f.now)
 		f.arrive(id, uint64(i), engines, "a", 300)
 		assert.Equal(t, u.inst.ID, f.placed(id, uint64(i)).Instance.ID)
-		assert.False(t, u.conns.kept(id, f.now), "it is in use")
+		assert.False(t, u.conns.kept(id, f.now), "the connection is in use")
 		f.nodes[id].Step(First{ID: uint64(i), After: 30 * time.Millisecond}, f.now)
 		f.nodes[id].Step(End{ID: uint64(i), Event: wire.NoteDone}, f.now)
-		assert.True(t, u.conns.kept(id, f.now), "and kept again")
+		assert.True(t, u.conns.kept(id, f.now), "the connection is kept again")
 		clear(u.conns.until)
 	}
 }
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -26,7 +26,8 @@
 	f.deliver()
 }
 
-// crash ends an engine under an attempt of a router, which sees its connections refused.
+// crash ends an engine during an attempt of a router, which then sees its connections
+// refused.
 func (f *fleet) crash(id wire.NodeID, c fingerprint.Fingerprint, inst routing.Instance) {
 	f.crashed(id, Broke{Content: c, Org: "alpha", Instance: inst, Began: f.now, Lost: true})
 }
@@ -55,7 +56,8 @@
 	return n
 }
 
-// Three routers see one crash each; all know that it is the third within two ticks.
+// Three routers observe one crash each, and all routers hold the request within two ticks
+// of the third.
 func TestThirdCrashHoldsRequestFleetWide(t *testing.T) {
 	f := newFleet(t, 6, 5)
 	list := instances(5)
@@ -67,7 +69,8 @@
 	assert.Equal(t, len(f.order), f.holdingRouters(crashingRequest))
 }
 
-// A doubt alone proves nothing: answers are lost, cut, and given up by their callers.
+// An unanswered attempt alone proves nothing: answers are lost, cut, and given up by their
+// callers.
 func TestUnansweredAttemptsAloneHoldNothing(t *testing.T) {
 	f := newFleet(t, 3, 9)
 	list := instances(9)
@@ -79,7 +82,8 @@
 	assert.Zero(t, f.stateAt(f.order[0], crashingRequest).Crashes)
 }
 
-// When connections tell nothing, the upstream's entry goes some seconds later.
+// When connections give no sign of the upstream's end, its entry is removed from the store
+// some seconds later.
 func TestRemovedEntryIsACrashUnlessDraining(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		f := newFleet(t, 1, 4)
@@ -99,8 +103,8 @@
 	}
 }
 
-// An upstream that is leaving ends what it still runs when its time is over, after its
-// entry has gone.
+// A draining upstream ends what it still runs when its time is over, after its entry was
+// removed.
 func TestStreamCutByDrainedUpstreamIsNoCrash(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -113,7 +117,7 @@
 	assert.Zero(t, f.stateAt(id, crashingRequest).Crashes)
 }
 
-// The connection may tell an upstream's end later than the store does.
+// The connection may show an upstream's end later than the store does.
 func TestAttemptBrokenAfterUpstreamEndCounts(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	id := f.order[0]
@@ -138,7 +142,6 @@
 	assert.Equal(t, 1, probes)
 }
 
-// One datagram in ten is lost, as on a bad link.
 func TestCrashReportsSurviveDatagramLoss(t *testing.T) {
 	f := newFleet(t, 8, 5)
 	list := instances(5)
@@ -151,8 +154,8 @@
 	assert.Equal(t, len(f.order), f.holdingRouters(crashingRequest))
 }
 
-// Each side of a cut counts by itself. When it heals, what either side saw is joined:
-// nothing is added twice, nothing is lost.
+// Each side of a partition counts by itself. When it heals, the observations of both sides
+// are merged: nothing is counted twice, nothing is lost.
 func TestPartitionSidesMergeHeldRequests(t *testing.T) {
 	f := newFleet(t, 4, 8)
 	list := instances(8)
@@ -169,11 +172,11 @@
 	f.cut[away] = false
 	f.run(3 * time.Second)
 	assert.Equal(t, 4, f.holdingRouters(crashingRequest))
-	assert.LessOrEqual(t, f.stateAt(away, crashingRequest).Crashes, 4, "the engine that both saw crash counts once")
+	assert.LessOrEqual(t, f.stateAt(away, crashingRequest).Crashes, 4, "an engine whose crash both sides observed counts once")
 }
 
-// A router that starts again knows nothing; it holds what the others hold before it is
-// ready for callers.
+// A router that restarts knows nothing; it holds what the others hold before it is ready
+// for callers.
 func TestRestartedRouterLearnsHeldRequests(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	for i := range quarantine.HoldAfter {
@@ -187,8 +190,9 @@
 	assert.True(t, f.holds(id, crashingRequest))
 }
 
-// One that starts twice within a second is told each time, with the answer to its first
-// words: callers that know its address come before the balancer sends any.
+// A router that restarts twice within a second receives the held requests each time, with
+// the reply to its first datagram: callers that know its address come before the balancer
+// sends any.
 func TestTwiceRestartedRouterLearnsHeldRequests(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	for i := range quarantine.HoldAfter {
@@ -204,7 +208,7 @@
 	}
 }
 
-// The same in a fleet where only some routers tell everyone, in turn.
+// The same in a large fleet, where only some routers announce to everyone, in turn.
 func TestLargeFleetSharesHeldRequests(t *testing.T) {
 	f := newFleet(t, meshUpTo+8, 8)
 	for i := range quarantine.HoldAfter {
@@ -219,7 +223,7 @@
 	assert.True(t, f.holds(id, crashingRequest))
 }
 
-// A request that is answered whole after all is not held, anywhere.
+// A request that is answered completely after all is not held by any router.
 func TestWholeAnswerClearsSuspicionFleetWide(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	f.crash(f.order[0], crashingRequest, instances(8)[0])
@@ -233,9 +237,9 @@
 	assert.Equal(t, 1, f.stateAt(f.order[1], crashingRequest).Crashes)
 }
 
-// Everyone of an organisation asks the same thing of a service. It is at three upstreams,
-// by three routers, when they lose power in the same moment: a request of which many were
-// answered is not refused to everyone for that.
+// All callers of an organisation send the same request, which runs at three upstreams,
+// through three routers, when these lose power at the same moment. A request that was often
+// answered must not be held for that.
 func TestRackOutageDoesNotHoldPopularRequest(t *testing.T) {
 	f := newFleet(t, 3, 8)
 	list := instances(8)
@@ -254,11 +258,11 @@
 	}
 }
 
-// Racks lose power, one each two seconds, three times as many as it takes to hold a
-// request, under callers who each ask one thing until it is answered. What ran there is
-// suspected by chance. Of 400 sessions at 24 engines, of which a third lose power each
-// time, the figure below is how many come to be held; a caller of one of them is refused
-// until it lapses, so it must stay small.
+// Racks lose power every two seconds, three times as often as it takes to hold a request,
+// under callers who each repeat one request until it is answered. What ran there is
+// suspected by chance. A third of the 24 engines loses power each time. A caller whose
+// request is held is refused until the hold expires, so few of the 400 sessions may be
+// held.
 func TestRacksThatLosePowerCondemnFewSoundRequests(t *testing.T) {
 	const (
 		engineCount = 24
@@ -270,14 +274,14 @@
 	rnd := rand.New(rand.NewPCG(7, 7))
 	f := newFleet(t, 3, engineCount)
 	crashesAtAnswer := map[int]int{}
-	at := make([]int, sessions) // the engine that a session's attempt is at
+	at := make([]int, sessions) // the engine that runs a session's attempt
 	life := make([]int, engineCount)
 	for s := range at {
 		at[s] = rnd.IntN(engineCount)
 	}
 	for range outages {
-		// One in ten attempts that run has had no event yet. Two of three are answered
-		// between two outages; the session then asks something else.
+		// One in ten running attempts has had no event yet. Two of three are answered
+		// between two outages; the session then sends another request.
 		for s := range at {
 			if rnd.IntN(3) > 0 {
 				crashesAtAnswer[s]++
@@ -308,8 +312,8 @@
 	assert.Greater(t, suspected, held)
 }
 
-// A request that crashes ten engines in ten seconds, which it cannot any more, would
-// leave the engines that are sound as they are: what is believed of an engine ends with it.
+// A request that crashes ten engines in ten seconds, which quarantine now prevents, must
+// not affect the healthy engines: what is known of an engine ends with it.
 func TestCrashesDoNotAffectSoundEngines(t *testing.T) {
 	f := newFleet(t, 1, 12)
 	id := f.order[0]
@@ -338,12 +342,12 @@
 	}
 	p := n.pools[serviceID(engines)]
 	require.NotNil(t, p)
-	assert.Zero(t, p.meter.over(version.IDOf("alpha"), f.now), "its organisation got nothing for what never began")
-	assert.Zero(t, n.budget(p.id).recentRepeats(f.now), "its caller's own tries are no repeats of the fleet's")
+	assert.Zero(t, p.meter.over(version.IDOf("alpha"), f.now), "work that never started does not count as granted")
+	assert.Zero(t, n.budget(p.id).recentRepeats(f.now), "retries by the caller are not repeats of the fleet")
 }
 
-// How long after a third crash each router holds the request, in a fleet of which three
-// datagrams in a hundred are lost; a router's own way to its requests adds a tick. The
+// Measures how long after a third crash each router holds the request, in a fleet that
+// loses three datagrams in a hundred. A router's own path to its requests adds a tick. The
 // operators' bound is three seconds.
 func TestHoldPropagatesWithinBound(t *testing.T) {
 	const bound = 500 * time.Millisecond
--- a/internal/dispatch/learnedmodel_test.go
+++ b/internal/dispatch/learnedmodel_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// What the scheduler has learned of its engines is known to the router that follows it.
+// The next scheduler knows what the previous one has learned of its engines.
 func TestNextSchedulerInheritsEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.scheduler()
@@ -36,8 +36,8 @@
 	assert.InDelta(t, learned.Base, told.Base, 0.1)
 }
 
-// A router that has just started may be the scheduler at once: it knows its engines
-// with the first messages of the others.
+// A router that has just started may become the scheduler at once: it learns the engines'
+// model from the first heartbeats of the others.
 func TestRestartedSchedulerInheritsEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.scheduler()
@@ -53,7 +53,8 @@
 }
 
 // A table without targets, sizes or a stated capacity still has a defined decision: nobody
-// is over a share, and a quarter of the time that is left stands for the target.
+// is over its share, and a quarter of the time left until the deadline serves as the
+// target.
 func TestTableWithoutTargetsOrCapacity(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -68,11 +69,11 @@
 	f.nodes[id].Step(Arrive{Request: Request{ID: 50, Service: engines, Org: "a", Input: 1 << 30, Output: 1 << 30, Deadline: f.now}}, f.now)
 	f.deliver()
 	_, refused := f.got[id][50].(Refuse)
-	assert.True(t, refused, "larger than any engine")
+	assert.True(t, refused, "the request is larger than any engine")
 }
 
-// An engine whose first events come after an hour, or before they were asked for, is
-// not believed, and decisions go on.
+// First events that come after an hour, or before the request, are not learned, and
+// decisions continue.
 func TestImplausibleTimesAreNotLearned(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	id := f.order[0]
--- a/internal/dispatch/leastserved_test.go
+++ b/internal/dispatch/leastserved_test.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Two organisations flood, one by a router that brings its requests more slowly: what was
-// over shares all went to the other one.
+// Two organisations flood, one through a router that delivers its requests more slowly: all
+// capacity beyond shares went to the other one.
 func TestLeastServedOrganisationGoesFirst(t *testing.T) {
 	m := newMeter(390_000)
 	now := start
@@ -28,10 +28,10 @@
 	for at := now; at.Before(later); at = at.Add(shareStep) {
 		m.addRequest(2, statedWindowTokens, at)
 	}
-	assert.False(t, m.mustYield(2, later), "who has stopped asking holds nobody back")
+	assert.False(t, m.mustYield(2, later), "an organisation that has stopped sending holds nobody back")
 }
 
-// A refusal for the share is told from one for the wait.
+// A refusal because of the share has another reason than one because of the wait.
 func TestRefusalForShareHasItsOwnReason(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -53,7 +53,8 @@
 	f.placed(id, 2)
 }
 
-// Whoever has only begun to ask for more than it gets is about to be served.
+// An organisation that has only begun to request more than it is granted is about to be
+// served.
 func TestNewFloodHoldsNobodyBack(t *testing.T) {
 	m := newMeter(390_000)
 	now := start
@@ -66,8 +67,9 @@
 	assert.False(t, m.mustYield(2, now))
 }
 
-// An organisation asked for four times what it got in every second, and was not waited for:
-// in a step in which one of its large requests was served it had got what it asked.
+// An organisation requested four times what it was granted in every second, but did not
+// count as having unmet demand: in a step in which one of its large requests was served it
+// had been granted all it requested.
 func TestUnmetDemandIsSummedOverSeconds(t *testing.T) {
 	m := newMeter(390_000)
 	now := start
@@ -86,9 +88,9 @@
 	}
 }
 
-// Of two organisations the one had had a third of its share and the other nine tenths, and
-// the first was refused for the wait as often as the other: each engine that came free went
-// to whoever came next, and the other one sent ten times as much.
+// One organisation had used a third of its share and the other nine tenths, and the first
+// was refused because of the wait as often as the other: each free engine went to the next
+// request to arrive, and the other sent ten times as many.
 func TestLeastServedGoesFirstWhileEnginesUnderperform(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	p := f.nodes[f.order[0]].pools[serviceID(engines)]
@@ -103,10 +105,10 @@
 	}
 	over := m.over(flood, f.now)
 	assert.InDelta(t, 0.9, over, 0.01)
-	assert.False(t, p.mustYield(flood, over, f.now), "it is owed its share")
+	assert.False(t, p.mustYield(flood, over, f.now), "it is under its share")
 	m.addRefusal(small, m.capacity, f.now)
 	f.run(shareStep)
 	assert.True(t, p.mustYield(flood, over, f.now))
 	assert.False(t, p.mustYield(small, m.over(small, f.now), f.now))
-	assert.False(t, p.mustYield(flood, 0.2, f.now), "nobody is held back that has had little of its share")
+	assert.False(t, p.mustYield(flood, 0.2, f.now), "an organisation that has used little of its share is never held back")
 }
--- a/internal/dispatch/localdecision_test.go
+++ b/internal/dispatch/localdecision_test.go
@@ -9,28 +9,27 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// One organisation's callers came in at a
-// small router, which refused most of them at its door. The scheduler did not know
-// of those, took the organisation for one that asked for little, and gave what was
-// left to another one.
+// One organisation's requests arrived at a small router, which shed most of them. The
+// scheduler did not know of those, took the organisation for one with little demand, and
+// granted the rest of the capacity to another one.
 func TestShedWorkCountsAsDemand(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	sched := f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
 	const window = 390_000 * 4
-	p.meter.addRequest(2, window, f.now) // another one asks for everything there is
+	p.meter.addRequest(2, window, f.now) // another organisation requests the whole capacity
 	p.meter.addGrant(2, window, f.now)
 	assert.InDelta(t, 1, p.meter.over(2, f.now), 0.01)
 	f.nodes[f.other()].Step(Turned{Work: []TurnedWork{{Service: engines, Org: "shed", Tokens: window}}}, f.now)
 	f.run(2 * localUsageInterval)
-	assert.InDelta(t, 2, p.meter.over(2, f.now), 0.1, "half of it is the other's share")
+	assert.InDelta(t, 2, p.meter.over(2, f.now), 0.1, "half of the capacity is the other organisation's share")
 	f.nodes[f.other()].Step(Turned{Work: []TurnedWork{{Service: counter, Org: "shed", Tokens: 1}, {Service: "unknown", Org: "shed", Tokens: 1}}}, f.now)
 	f.run(2 * localUsageInterval) // plain and unknown services have no shares
 }
 
-// A router that is late itself takes its
-// scheduler for silent, decides by its own model, and places two thirds of a
-// flood beyond the organisation's share; the scheduler never heard of it.
+// An overloaded router takes its scheduler for failed and decides by its own model. It
+// placed two thirds of a flood beyond the organisation's share, and the scheduler never
+// learned of it.
 func TestRouterWithoutSchedulerPlacesNothingOverShare(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id, sched := f.other(), f.nodes[f.scheduler()]
@@ -41,7 +40,7 @@
 	p.meter.addGrant(org, 390_000*4, f.now)
 	f.arrive(id, 1, engines, "flood", 4000)
 	require.Contains(t, f.got[id], uint64(1))
-	// From here on the scheduler's answers do not come in time.
+	// From here on the scheduler's replies do not arrive in time.
 	f.cut[f.scheduler()] = true
 	f.arrive(id, 2, engines, "flood", 4000)
 	f.arrive(id, 3, engines, "small", 4000)
@@ -50,14 +49,14 @@
 	require.True(t, refused, "%#v", f.got[id][2])
 	assert.Equal(t, ReasonCapacity, r.Reason)
 	assert.Positive(t, r.After)
-	assert.Equal(t, id, f.placed(id, 3).By, "an organisation that has not had its share is served")
+	assert.Equal(t, id, f.placed(id, 3).By, "an organisation under its share is served")
 	f.run(overTTL)
 	f.arrive(id, 4, engines, "flood", 4000)
 	f.run(askGiveUp + 3*TickEvery)
-	f.placed(id, 4) // an old word does not hold for ever
+	f.placed(id, 4) // the share update has expired
 }
 
-// What a router places by itself counts in the shares of the next scheduler.
+// What a router places by local decisions counts in the shares of the next scheduler.
 func TestLocalPlacementsCountInShares(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id, sched := f.other(), f.scheduler()
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// First events of a router short of processor came a second late. Every engine that had
-// one of its prompts seemed a second behind, and everyone was refused everywhere.
+// A router short of CPU reported first events a second late. Every engine that had one of
+// its prompts seemed a second behind, and all organisations were refused everywhere.
 func TestOverloadedRouterDoesNotSlowEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
@@ -25,7 +25,7 @@
 	}
 	f.run(time.Second)
 	for _, u := range p.order {
-		assert.Zero(t, u.backlog(p.learner.Model(), f.now), "it has been read since")
+		assert.Zero(t, u.backlog(p.learner.Model(), f.now), "the prompts have been read since")
 	}
 	for no := uint64(1); no <= 4; no++ {
 		f.nodes[id].Step(First{ID: no, After: time.Second}, f.now)
@@ -41,7 +41,8 @@
 	assert.Empty(t, p.late)
 }
 
-// A router that says that it is late makes what it has placed before doubtful too.
+// When a router announces its overload, the times of requests that it has placed before
+// become suspect too.
 func TestOverloadMarksEarlierPlacementsSuspect(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	id := f.other()
@@ -57,8 +58,8 @@
 	assert.Zero(t, p.order[0].queue.Len())
 }
 
-// What routers state of their own placements stood for a second and a half after engines
-// had read it.
+// The load that routers stated for their own placements remained for a second and a half
+// after engines had read it.
 func TestStatedLoadDecays(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	n := f.nodes[f.order[0]]
@@ -74,12 +75,13 @@
 		n.tickStatedLoads(f.now)
 	}
 	assert.Less(t, u.stated(p.learner.Model(), f.now), 0.1*stated)
-	assert.Equal(t, 3, u.running(), "the runs go on")
+	assert.Equal(t, 3, u.running(), "the requests are still running")
 	u.workOff(p.learner.Model(), time.Second, f.now)
 	assert.Zero(t, u.total.unread)
 }
 
-// A router whose answers came after 70 ms gave up on each of them after 45: it used none.
+// A router that received replies after 70 ms gave up on each of them after 45 ms, and used
+// none.
 func TestReplyTimeoutFollowsRoundTripTime(t *testing.T) {
 	var r roundTrip
 	assert.Equal(t, askGiveUp, r.timeout())
@@ -95,10 +97,11 @@
 	for range 80 {
 		r.observe(2 * time.Millisecond)
 	}
-	assert.Equal(t, askGiveUp, r.timeout(), "and back")
+	assert.Equal(t, askGiveUp, r.timeout(), "the timeout falls again")
 }
 
-// Answers to asks that were given up on tell how late answers are.
+// Replies to placement requests that have timed out still count in the estimate of the
+// round-trip time.
 func TestLateRepliesUpdateRoundTripTime(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
@@ -124,12 +127,13 @@
 		f.run(TickEvery)
 	}
 	assert.Greater(t, n.trip.timeout(), askGiveUp)
-	assert.LessOrEqual(t, n.replyTimeout(&inflightRequest{requestedAt: f.now, req: Request{Aim: f.now.Add(60 * time.Millisecond)}}), askGiveUp, "not beyond what a request's target leaves")
+	assert.LessOrEqual(t, n.replyTimeout(&inflightRequest{requestedAt: f.now, req: Request{Aim: f.now.Add(60 * time.Millisecond)}}), askGiveUp, "bounded by the time left to the request's target")
 	f.run(2 * timedOutRequestTTL)
 	assert.Empty(t, n.gaveUp)
 }
 
-// A router that did not get to read took nine schedulers for silent in 0.6 s.
+// A router that did not get to read its datagrams took nine schedulers for failed within
+// 0.6 s.
 func TestIsolatedRouterSuspectsOneScheduler(t *testing.T) {
 	f := newFleet(t, 6, 4)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
--- a/internal/dispatch/prefill/prefill_test.go
+++ b/internal/dispatch/prefill/prefill_test.go
@@ -13,13 +13,14 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// anyModel draws an engine: each figure within a factor of ten of the prior, either way.
+// anyModel draws an engine: each parameter within a factor of ten of the prior, either way.
 func anyModel(t *rapid.T) Model {
 	factor := func(name string) float64 { return math.Pow(10, rapid.Float64Range(-1, 1).Draw(t, name)) }
 	return Model{Base: Prior.Base * factor("base"), PerToken: Prior.PerToken * factor("token"), PerPair: Prior.PerPair * factor("pair"), PerFetched: Prior.PerFetched * factor("fetch")}
 }
 
-// prompts draws sizes with a heavy tail; a third fetch what they do not keep.
+// randomPrompts draws sizes with a heavy tail; a third of the prompts fetch a part that is
+// not cached.
 func randomPrompts(rnd *rand.Rand, n int) []Prompt {
 	var out []Prompt
 	for range n {
@@ -32,10 +33,10 @@
 	return out
 }
 
-// Engines that nobody has measured: 150 requests, some seconds of a busy service, are
-// enough, whatever the prior said, with one answer in twenty from a faulty engine. Of
-// requests like those that were seen, half are expected within a tenth and nine in ten
-// within a quarter. (A figure that hardly any request showed may be further off.)
+// For an unknown engine, 150 requests, a few seconds of a busy service, are enough whatever
+// the prior was, with one answer in twenty from a faulty engine. For similar requests, half
+// of the expected times are within a tenth and nine in ten within a quarter. (A parameter
+// that hardly any request depends on may be further off.)
 func TestModelConvergesWithinSeconds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth, l := anyModel(t), NewLearner()
@@ -59,7 +60,7 @@
 	})
 }
 
-// Nonsense from an engine, and clocks that jump, leave the model as it was.
+// Impossible times from an engine, and clocks that jump, leave the model unchanged.
 func TestInvalidSamplesAreNotLearned(t *testing.T) {
 	l := NewLearner()
 	for _, ms := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1), maxSampleMS + 1} {
@@ -72,23 +73,23 @@
 	l.Inherit(Model{PerToken: -1}, 100)
 	assert.Equal(t, Prior, l.Model())
 	for range 200 {
-		l.Add(Sample{MS: 0, IdleStarts: 1}) // answers before anything was read
+		l.Add(Sample{MS: 0, IdleStarts: 1}) // answered before anything was read
 	}
 	assert.True(t, l.Model().usable())
 }
 
-// A router that becomes scheduler goes on from what the last one had learned.
+// A new scheduler starts from the model of the previous one.
 func TestLearnerInheritsModelWithMoreSamples(t *testing.T) {
 	l := NewLearner()
 	told := Model{Base: 200, PerToken: 0.01, PerPair: 0.1}
 	l.Inherit(told, 300)
 	assert.Equal(t, told, l.Model())
 	l.Inherit(Prior, 100)
-	assert.Equal(t, told, l.Model(), "that one has seen less")
+	assert.Equal(t, told, l.Model(), "that model is based on fewer samples")
 }
 
-// What an engine needs beyond reading holds up nobody behind: ten small prompts in
-// 20 ms wait for the reading of those before, not for their first events.
+// What an engine needs beyond reading does not delay prompts behind: ten small prompts
+// within 20 ms wait for the earlier ones to be read, not for their first events.
 func TestBaseTimeIsNoBacklog(t *testing.T) {
 	m := Model{Base: 50, PerToken: 0.01}
 	var q Queue
@@ -101,7 +102,7 @@
 	assert.Equal(t, 10, q.Len())
 }
 
-// An engine that stands still is expected to be late by as much as its head is.
+// An engine that has stopped is expected to be late by as much as its head is overdue.
 func TestOverdueHeadHoldsUpTheQueue(t *testing.T) {
 	m := Model{Base: 20, PerToken: 0.02}
 	var q Queue
@@ -114,7 +115,7 @@
 	assert.Zero(t, q.Wait(m, start.Add(time.Second)))
 }
 
-// What was placed while the model was wrong is expected by the right one.
+// Prompts that were placed while the model was wrong are expected by the corrected model.
 func TestBacklogFollowsTheModel(t *testing.T) {
 	var q Queue
 	for range 10 {
@@ -124,8 +125,8 @@
 	assert.InDelta(t, 1000, q.Wait(Model{PerToken: 0.1}, start), 0.1)
 }
 
-// One engine three times slower than its service is known after a few prompts, and
-// forgiven when nothing more is seen of it.
+// An engine that is three times slower than its service is recognised after a few prompts,
+// and tried again once its slowness is no longer observed.
 func TestSlownessIsLearnedAndFades(t *testing.T) {
 	m := Model{Base: 20, PerToken: 0.02}
 	var q Queue
@@ -141,7 +142,7 @@
 	assert.InDelta(t, 1, q.Slow(m, now.Add(time.Minute)), 0.1)
 }
 
-// A prompt that ends unread gives its time back to those behind.
+// A prompt that ends unread no longer delays those behind it.
 func TestDroppedPromptFreesItsTime(t *testing.T) {
 	m := Model{PerToken: 0.1}
 	var q Queue
@@ -153,11 +154,11 @@
 	q.Drop(b, start)
 	assert.Zero(t, q.Wait(m, start))
 	_, ok := q.FirstEvent(b, 5, m, start)
-	assert.False(t, ok, "it is no longer there")
+	assert.False(t, ok, "the prompt is no longer queued")
 }
 
-// First events come at the ends of steps of a batch, several at once: reading must not
-// seem faster for it.
+// First events come at the ends of batch steps, several at once. This must not make reading
+// seem faster.
 func TestBatchStepsDoNotBiasTheRate(t *testing.T) {
 	const step = 20 * time.Millisecond
 	m := Model{Base: 50, PerToken: 0.0114}
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -10,7 +10,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Once a second the log tells what decisions rest on.
+// Once a second the log shows the inputs of decisions.
 func TestReportsDescribeDecisionInputs(t *testing.T) {
 	f, id := newFloodedFleet(t)
 	sched := f.nodes[f.scheduler()]
@@ -40,7 +40,7 @@
 	n.reports.addDecision(serviceOrg{serviceID(engines), version.IDOf("flood")}, 500, true)
 	n.reports.addDecision(serviceOrg{serviceID(engines), version.IDOf("flood")}, 0, false)
 	n.reports.addShed(serviceOrg{serviceID(engines), version.IDOf("flood")}, 300)
-	n.reports.addShed(serviceOrg{1, 2}, 300) // of a service that has gone
+	n.reports.addShed(serviceOrg{1, 2}, 300) // of a service that no longer exists
 	n.reportLocalDecisions(f.now)
 	var alone []LocalDecisionReport
 	for _, o := range n.Ready(f.now) {
@@ -56,8 +56,8 @@
 	assert.GreaterOrEqual(t, alone[0].ShareAgeMS, 0)
 }
 
-// Two organisations differed in what engines began, and no line could tell whether the one
-// that got less was waited for: what was got is what was placed.
+// Two organisations differed in the work that engines started for them, and the log did not
+// show whether others were held back for the one with less: it showed placed work only.
 func TestShareReportIncludesStartedWorkAndUnmetDemand(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
--- a/internal/dispatch/retrybudget_test.go
+++ b/internal/dispatch/retrybudget_test.go
@@ -21,10 +21,10 @@
 	now := start
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		for _, b := range budgets[:2] { // all traffic enters by two of six
+		for _, b := range budgets[:2] { // all requests arrive at two of six routers
 			b.countRequest(now)
 			requests++
-			if b.allowRepeat(routers, 0.5, now) { // each has half of the requests
+			if b.allowRepeat(routers, 0.5, now) { // each receives half of the requests
 				spent++
 			}
 		}
@@ -33,7 +33,7 @@
 	assert.Greater(t, spent, requests/10)
 }
 
-// A placement whose upstream has left before the request was sent is no repeat.
+// A placement whose upstream has left before the request was sent is not a repeat.
 func TestUnusedPlacementCostsNoRetryBudget(t *testing.T) {
 	f := newFleet(t, 1, 3)
 	id := f.order[0]
@@ -50,8 +50,8 @@
 	assert.Equal(t, ReasonBudget, r.Reason)
 }
 
-// The slack goes where the requests are, and a router that is cut off from the
-// others keeps to its part.
+// The slack goes where the requests are, and a router that is cut off from the others stays
+// within its part.
 func TestRetrySlackFollowsDemand(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	rules := RetryRules{Ratio: 0, Window: 10 * time.Second, Slack: 100}
@@ -66,7 +66,7 @@
 	for range 10 {
 		f.nodes[quiet].budget(service).countRequest(f.now)
 	}
-	f.run(time.Second) // they tell each other
+	f.run(time.Second) // they exchange their demand
 	spend := func(id wire.NodeID) (n int) {
 		for f.nodes[id].budget(service).allowRepeat(f.nodes[id].fleetSize(), f.nodes[id].demandRatio(service, f.now), f.now) {
 			n++
@@ -77,7 +77,7 @@
 	assert.Zero(t, f.nodes[f.order[2]].demandRatio(service, f.now))
 	f.cut[busy] = true
 	f.run(5 * time.Second)
-	assert.InDelta(t, 0.9, f.nodes[busy].demandRatio(service, f.now), 0.01, "the others' last word holds in a cut")
+	assert.InDelta(t, 0.9, f.nodes[busy].demandRatio(service, f.now), 0.01, "the demand last reported by the others is used during a partition")
 	total := 0
 	var each []int
 	for _, id := range f.order {
@@ -87,5 +87,5 @@
 	}
 	assert.LessOrEqual(t, total, 100)
 	assert.Greater(t, each[0], 2*each[1], "%v", each)
-	assert.GreaterOrEqual(t, each[2], 11, "an even part is there for everyone")
+	assert.GreaterOrEqual(t, each[2], 11, "every router has an even part of the slack")
 }
--- a/internal/dispatch/sharecoverage_test.go
+++ b/internal/dispatch/sharecoverage_test.go
@@ -9,7 +9,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// What shares do not cover is refused at the door of a router short of processor.
+// A router short of CPU sheds the requests that shares do not cover.
 func TestShareCoverageRatio(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
@@ -18,11 +18,11 @@
 	org := version.IDOf("flood")
 	n.reports.orgNames[org] = "flood"
 	p.here.addRequest(org, 100_000, f.now)
-	assert.Empty(t, n.ShareCoverage(f.now), "nothing was said of it")
+	assert.Empty(t, n.ShareCoverage(f.now), "no share update was received")
 	n.handleShareUpdates([]wire.ShareWord{{Service: p.id, Org: org, Over: 120, Share: 10_000, Asked: 100_000}}, f.now)
 	assert.Equal(t, []ShareCoverage{{Service: engines, Org: "flood", Ratio: coverageFactor * 0.1}}, n.ShareCoverage(f.now))
 	n.handleShareUpdates([]wire.ShareWord{{Service: p.id, Org: org, Over: 90, Share: 10_000, Asked: 100_000}}, f.now)
-	assert.Empty(t, n.ShareCoverage(f.now), "it has not had its share")
+	assert.Empty(t, n.ShareCoverage(f.now), "it is under its share")
 
 	s := f.nodes[f.scheduler()]
 	s.reports.orgNames[org] = "flood"
@@ -34,9 +34,9 @@
 	assert.Equal(t, []ShareCoverage{{Service: engines, Org: "flood", Ratio: coverageFactor / 4}}, s.ShareCoverage(f.now.Add(shareStep)))
 }
 
-// What the scheduler gives beyond shares goes on coming in while the router is short of
-// processor: the door measured by the share alone, and left an organisation a half of what
-// it had had there.
+// Capacity granted beyond shares must continue to be admitted while the router is short of
+// CPU. With admission by the share alone, an organisation kept half of what it had been
+// granted there.
 func TestShareCoverageIncludesRecentPlacements(t *testing.T) {
 	f, id := newFloodedFleet(t)
 	n := f.nodes[id]
--- a/internal/dispatch/shareupdate_test.go
+++ b/internal/dispatch/shareupdate_test.go
@@ -11,12 +11,13 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// window is the stated capacity of a fleet of tests, in tokens of the window in which
-// shares are counted.
+// statedWindowTokens is the stated capacity of a fleet in tests, in tokens of the window in
+// which shares are counted.
 const statedWindowTokens = 390_000 * 4
 
-// flooded is a fleet in which two organisations ask for everything there is, and one of
-// them comes in by the router returned, which has the scheduler's word on it.
+// newFloodedFleet returns a fleet in which two organisations request the whole capacity and
+// more. The requests of one of them arrive at the returned router, which has received the
+// scheduler's share update on it.
 func newFloodedFleet(t *testing.T) (f *fleet, id wire.NodeID) {
 	f = newFleet(t, 4, 4)
 	id = f.other()
@@ -28,8 +29,8 @@
 	return f, id
 }
 
-// pour sends a flood by a router that hears nobody, request by request, for a time, and
-// returns the tokens that it placed.
+// sendFlood sends a flood through a router that is cut off, request by request, for a time,
+// and returns the tokens that it placed.
 func (f *fleet) sendFlood(id wire.NodeID, from uint64, d time.Duration) float64 {
 	f.cut[id] = true
 	placed := 0.0
@@ -46,8 +47,9 @@
 	return placed
 }
 
-// A router that had heard nothing of its scheduler for two seconds placed whatever came,
-// twice an organisation's share of four seconds in one. It places what the share covers.
+// A router that had received nothing from its scheduler for two seconds placed whatever
+// arrived: within one second twice the organisation's share of a four second window. It
+// should place what the share covers.
 func TestIsolatedRouterPlacesItsFractionOfTheShare(t *testing.T) {
 	f, id := newFloodedFleet(t)
 	f.cut[id] = true
@@ -55,10 +57,10 @@
 	share := float64(f.nodes[id].words.received[serviceOrg{serviceID(engines), version.IDOf("flood")}].Share)
 	placed := f.sendFlood(id, 10, 4*time.Second)
 	assert.Less(t, placed, 1.2*share)
-	assert.Greater(t, placed, 0.05*share, "nor is everything refused")
+	assert.Greater(t, placed, 0.05*share, "not everything is refused")
 }
 
-// Without any word an organisation gets an even part.
+// Without a share update an organisation gets an even part of the capacity.
 func TestLocalAllowanceWithoutShareUpdate(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	n := f.nodes[f.other()]
@@ -68,7 +70,8 @@
 	assert.InDelta(t, statedWindowTokens/4, n.localAllowance(p, 1, f.now), 1)
 }
 
-// An organisation that comes in by many routers gets its part at each.
+// An organisation whose requests arrive at many routers gets a fraction of its share at
+// each.
 func TestLocalAllowanceFollowsLocalDemand(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	n := f.nodes[f.other()]
@@ -81,7 +84,8 @@
 	assert.InDelta(t, 1000*minLocalShareRatio, n.localAllowance(p, 1, f.now.Add(5*time.Second)), 1)
 }
 
-// Answers that came too late were thrown away with the word that they held.
+// Replies that arrived too late were dropped together with the share update that came with
+// them.
 func TestLateReplyDeliversShareUpdate(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
@@ -94,11 +98,11 @@
 	f.now = f.now.Add(overTTL)
 	assert.Zero(t, n.localOver(n.pools[serviceID(engines)], 7, f.now))
 	f.run(shareUpdateTTL)
-	assert.Empty(t, n.words.received, "it is forgotten in the end")
+	assert.Empty(t, n.words.received, "expired updates are removed")
 }
 
-// Who was asked in place of a scheduler that seemed silent knew of nothing, and said that
-// an organisation at 147 hundredths of its share had had 13.
+// A router that was asked in place of a seemingly failed scheduler knew nothing, and
+// reported that an organisation at 147 per cent of its share had used 13.
 func TestOnlySchedulerSendsShareUpdates(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
@@ -117,11 +121,12 @@
 			assert.Empty(t, s.Datagram.Work.Words)
 		}
 	}
-	assert.NotEmpty(t, f.nodes[third].unasked.sums, "what it placed is told to the scheduler")
+	assert.NotEmpty(t, f.nodes[third].unasked.sums, "its placement is reported to the scheduler")
 }
 
-// Who was asked in place of the scheduler gave what seemed left over, 428 requests of one
-// flood in a second, and what was never begun of it stayed counted at the scheduler.
+// A router that was asked in place of the scheduler granted what seemed to be spare
+// capacity, 428 requests of one flood in a second. Those that never started remained
+// counted at the scheduler.
 func TestStandInSchedulerPlacesNothingOverShare(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	sched := f.nodes[f.scheduler()]
@@ -142,7 +147,7 @@
 	require.NotZero(t, addRequest(1).Upstream)
 	heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Notes: []wire.WorkNote{{No: 1, Event: wire.NoteUnused}}}}}, f.now)
 	sum := heir.unasked.sums[serviceOrg{p.id, 7}]
-	assert.InDelta(t, 0, sum.placed, 0.1, "what was placed and what came back")
+	assert.InDelta(t, 0, sum.placed, 0.1, "the placement and its reversal cancel out")
 	own.meter.addRequest(8, 2*statedWindowTokens, f.now)
 	own.meter.addRequest(7, 2*statedWindowTokens, f.now)
 	own.meter.addGrant(7, statedWindowTokens, f.now)
@@ -152,8 +157,8 @@
 	assert.Equal(t, uint8(ReasonShare), refused.Why)
 }
 
-// The next scheduler knows what organisations had, and does not count twice what it
-// placed and told itself.
+// The next scheduler knows what organisations have used, and does not count twice what it
+// placed and reported itself.
 func TestStandbysReceiveRecordedUsage(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	sched := f.nodes[f.scheduler()]
@@ -172,8 +177,8 @@
 	assert.InDelta(t, 9000, windowTotal(&p.meter.at(8, f.now).got), 1)
 }
 
-// A placement that came to nothing counted as what its organisation had got, at the
-// scheduler for good when another router had placed it.
+// A placement that was not used counted as granted to its organisation, and for good at the
+// scheduler if another router had placed it.
 func TestUnstartedWorkIsSubtractedFromUsage(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	id := f.other()
@@ -194,12 +199,12 @@
 	f.run(2 * localUsageInterval)
 	f.nodes[id].Step(End{ID: 2, Event: wire.NoteUnused}, f.now)
 	f.run(4 * localUsageInterval)
-	assert.InDelta(t, 0, windowTotal(&meter.at(org, f.now).got), 1, "it was placed alone, and never sent")
+	assert.InDelta(t, 0, windowTotal(&meter.at(org, f.now).got), 1, "it was placed without the scheduler, and never sent")
 	assert.InDelta(t, 0, windowTotal(&f.nodes[id].pools[serviceID(engines)].here.at(org, f.now).got), 1)
 
 	f.arrive(id, 3, engines, "unlucky", 4000)
 	f.nodes[id].Step(First{ID: 3, After: 100 * time.Millisecond}, f.now)
 	f.nodes[id].Step(End{ID: 3, Event: wire.NoteFailed}, f.now)
 	f.run(100 * time.Millisecond)
-	assert.Positive(t, windowTotal(&meter.at(org, f.now).got), "what has begun was got")
+	assert.Positive(t, windowTotal(&meter.at(org, f.now).got), "started work counts as granted")
 }
--- a/internal/dispatch/workingset_test.go
+++ b/internal/dispatch/workingset_test.go
@@ -14,8 +14,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// crowd is one scheduler's pool of many engines in five places, under sessions whose requests
-// share the beginnings of their prompts.
+// poolSimulation is one scheduler's pool of many engines in five places, with sessions
+// whose requests share prompt prefixes.
 type poolSimulation struct {
 	t    *testing.T
 	p    *pool
@@ -25,12 +25,12 @@
 	runs []simulatedRun
 
 	placed, refused int
-	waitMS          float64 // of what was placed, summed
-	rereadTokens    int     // tokens of shared parts that were read though some engine kept them
-	maxCandidates   int     // of the upstreams that a decision looked at
+	waitMS          float64 // sum over placed requests
+	rereadTokens    int     // tokens of shared parts that were read though some engine had them cached
+	maxCandidates   int     // largest number of candidates of one decision
 }
 
-// ending is when a request has its first event and when it ends.
+// simulatedRun is a placed request with the times of its first event and its end.
 type simulatedRun struct {
 	from     wire.NodeID
 	no       uint64
@@ -54,7 +54,8 @@
 	return c
 }
 
-// ask is a request of one of so many sessions: two shared parts and one of its own.
+// newRequest returns a request of one of the given number of sessions, with two shared
+// parts and one of its own.
 func (c *poolSimulation) newRequest(sessions int) *wire.WorkAsk {
 	c.no++
 	session := c.rnd.IntN(sessions)
@@ -63,7 +64,7 @@
 		Parts: []wire.PromptPart{{Part: uint64(session % 4), Tokens: 2520}, {Part: uint64(100 + session), Tokens: 3780}, {Part: 1_000_000 + c.no, Tokens: 2890}}}
 }
 
-// load asks at a rate for a time.
+// load sends requests at a rate for a time.
 func (c *poolSimulation) load(perSecond, sessions int, d time.Duration) {
 	gap := time.Second / time.Duration(perSecond)
 	for end := c.now.Add(d); c.now.Before(end); {
@@ -93,7 +94,8 @@
 	return v
 }
 
-// longestCachedPrefix is how much of a prompt's shared parts some engine keeps read.
+// longestCachedPrefix is the largest number of tokens of a prompt's shared parts that some
+// engine has read and cached.
 func (c *poolSimulation) longestCachedPrefix(a *wire.WorkAsk) int {
 	for i := len(a.Parts) - 2; i >= 0; i-- {
 		for _, set := range c.p.places {
@@ -107,7 +109,7 @@
 	return 0
 }
 
-// finish lets requests have their first events and end.
+// finish delivers the first events and ends that are due.
 func (c *poolSimulation) finish() {
 	left := c.runs[:0]
 	for _, e := range c.runs {
@@ -124,23 +126,22 @@
 	c.runs = left
 }
 
-// used counts the engines in use.
 func (c *poolSimulation) inUseCount() int { return len(c.p.inUse()) }
 
-// 5,820 engines, and requests enough for 30 of them. A decision that looked at all of them
-// took 1.8 ms, more than the scheduler's processor at 1,300 requests a second, and shared
-// parts were read again wherever a request went.
+// 5,820 engines, and requests for 30 of them. A decision that compared all engines took 1.8
+// ms, more than the scheduler's CPU allows at 1,300 requests a second, and shared parts
+// were read again wherever a request went.
 func TestWorkingSetStaysSmall(t *testing.T) {
 	c := newPoolSimulation(t, 5820)
 	c.load(400, 2000, 6*time.Second)
 	assert.Zero(t, c.refused)
-	assert.LessOrEqual(t, c.maxCandidates, maxFullScan, "looked at in one decision")
+	assert.LessOrEqual(t, c.maxCandidates, maxFullScan, "candidates of one decision")
 	assert.Less(t, c.inUseCount(), 300)
 	assert.Less(t, c.waitMS/float64(c.placed), 20.0)
 	assert.Less(t, float64(c.rereadTokens), 0.05*float64(c.placed)*6300)
 }
 
-// The working set grows with the load at once: nobody is refused while engines stand idle.
+// The working set grows with the load at once: nobody is refused while engines are idle.
 func TestWorkingSetGrowsWithLoad(t *testing.T) {
 	for _, times := range []int{10, 50} {
 		c := newPoolSimulation(t, 5820)
@@ -152,7 +153,7 @@
 	}
 }
 
-// Engines that have had no work for long leave the working set.
+// Engines that have received no requests for a while leave the working set.
 func TestWorkingSetShrinksSlowly(t *testing.T) {
 	c := newPoolSimulation(t, 600)
 	c.load(400, 500, 3*time.Second)
@@ -166,7 +167,7 @@
 }
 
 // All engines in use are lost at once, and then a whole place is evacuated: requests go to
-// engines that were idle, and nobody is refused.
+// idle engines, and nobody is refused.
 func TestIdleEnginesReplaceLostOnes(t *testing.T) {
 	c := newPoolSimulation(t, 3000)
 	c.load(400, 500, 2*time.Second)
@@ -189,8 +190,8 @@
 	assert.Zero(t, c.refused)
 }
 
-// What a decision that looks at a few loses against one that looks at all: the request waits
-// no longer than a few milliseconds more, whatever the load.
+// Compares decisions among a few candidates with decisions among all upstreams: the mean
+// loss stays within a few milliseconds at any load.
 func TestCandidateSamplingCostsLittle(t *testing.T) {
 	for _, perSecond := range []int{100, 1000} {
 		c := newPoolSimulation(t, 600)
@@ -209,7 +210,7 @@
 			loss += max(0, some-all)
 			c.decide(a)
 		}
-		t.Logf("%d a second: %d of %d choices cost over 1 ms more, %.2f ms in the mean", perSecond, worse, asked, loss/float64(asked))
+		t.Logf("%d requests/s: %d of %d choices cost over 1 ms more; mean loss %.2f ms", perSecond, worse, asked, loss/float64(asked))
 		assert.Less(t, loss/float64(asked), 5.0)
 	}
 }
