--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -235,16 +235,16 @@
 
 // minBacklogMS is the smallest backlog of all engines, in milliseconds.
 func (p *pool) minBacklogMS(now time.Time) float64 {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, u := range p.order {
 		if u.cache != nil && !u.closed() {
-			least = min(least, u.backlog(p.learner.Model(), now))
+			lowest = min(lowest, u.backlog(p.learner.Model(), now))
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(lowest, 1) {
 		return 0
 	}
-	return least
+	return lowest
 }
 
 // Bounds on the Retry-After time of a refused request.
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -78,11 +78,11 @@
 
 // minBackoff is the time until the first upstream accepts requests of that router again.
 func (p *pool) minBackoff(a *wire.WorkAsk) time.Duration {
-	least := maxRetryAfter
+	shortest := maxRetryAfter
 	for _, r := range a.Backoffs {
 		if p.ups[r.Upstream] != nil {
-			least = min(least, time.Duration(r.ForMS)*time.Millisecond)
+			shortest = min(shortest, time.Duration(r.ForMS)*time.Millisecond)
 		}
 	}
-	return least
+	return shortest
 }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -54,14 +54,14 @@
 	l.upstreams = append(l.upstreams, u)
 }
 
-// addRotating adds up to most upstreams of a list, from another starting point in each
+// addRotating adds up to limit upstreams of a list, from another starting point in each
 // decision.
-func (l *look) addRotating(list []*upstream, most int) {
+func (l *look) addRotating(list []*upstream, limit int) {
 	if len(list) == 0 {
 		return
 	}
 	first := int(l.decisionNo % uint64(len(list)))
-	for i := range min(most, len(list)) {
+	for i := range min(limit, len(list)) {
 		l.add(list[(first+i)%len(list)])
 	}
 }
@@ -106,8 +106,8 @@
 }
 
 // addInUse adds a few upstreams of the working set, in rotation.
-func (s *placeSet) addInUse(l *look, most int) {
-	for range min(most, len(s.inUse)) {
+func (s *placeSet) addInUse(l *look, limit int) {
+	for range min(limit, len(s.inUse)) {
 		s.nextInUse = (s.nextInUse + 1) % len(s.inUse)
 		l.add(s.inUse[s.nextInUse])
 	}
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -97,8 +97,8 @@
 		return
 	}
 	start := version.IDOf(i.Start())
-	running, isNews := n.crashes.Ended(start, start, now)
-	if !isNews {
+	running, isNew := n.crashes.Ended(start, start, now)
+	if !isNew {
 		return
 	}
 	n.Counts.Ended++
--- a/internal/dispatch/inflight.go
+++ b/internal/dispatch/inflight.go
@@ -17,7 +17,7 @@
 	service       version.ID
 	try           uint32
 	upstreamID    version.ID  // where it is placed, 0 while it is not placed
-	scheduler     wire.NodeID // the router that placed it, or that is asked to
+	scheduler     wire.NodeID // the router that placed it, or to which the placement request was sent
 	work          int         // tokens that the upstream is expected to read
 	firstEvent    bool
 	requestedAt   time.Time
--- a/internal/dispatch/prefill/learn.go
+++ b/internal/dispatch/prefill/learn.go
@@ -134,11 +134,11 @@
 		if !ok {
 			return Model{}, false
 		}
-		least := floats.MinIdx(x)
-		if x[least] >= 0 {
+		lowest := floats.MinIdx(x)
+		if x[lowest] >= 0 {
 			return modelFromTerms(active, x), true
 		}
-		active = slices.Delete(active, least, least+1)
+		active = slices.Delete(active, lowest, lowest+1)
 	}
 	return Model{}, true
 }
--- a/internal/dispatch/prefill/model.go
+++ b/internal/dispatch/prefill/model.go
@@ -61,7 +61,7 @@
 // usable reports whether the values of a model, learned or received from a peer, are in a
 // plausible range.
 func (m Model) usable() bool {
-	const most = 1e5
-	sound := func(x float64) bool { return x >= 0 && x < most } // false for NaN
-	return sound(m.Base) && sound(m.PerToken) && sound(m.PerPair) && sound(m.PerFetched)
+	const maxValue = 1e5
+	plausible := func(x float64) bool { return x >= 0 && x < maxValue } // false for NaN
+	return plausible(m.Base) && plausible(m.PerToken) && plausible(m.PerPair) && plausible(m.PerFetched)
 }
--- a/internal/dispatch/prefill/prefill_test.go
+++ b/internal/dispatch/prefill/prefill_test.go
@@ -81,11 +81,11 @@
 // A new scheduler starts from the model of the previous one.
 func TestLearnerInheritsModelWithMoreSamples(t *testing.T) {
 	l := NewLearner()
-	told := Model{Base: 200, PerToken: 0.01, PerPair: 0.1}
-	l.Inherit(told, 300)
-	assert.Equal(t, told, l.Model())
+	inherited := Model{Base: 200, PerToken: 0.01, PerPair: 0.1}
+	l.Inherit(inherited, 300)
+	assert.Equal(t, inherited, l.Model())
 	l.Inherit(Prior, 100)
-	assert.Equal(t, told, l.Model(), "that model is based on fewer samples")
+	assert.Equal(t, inherited, l.Model(), "that model is based on fewer samples")
 }
 
 // What an engine needs beyond reading does not delay prompts behind: ten small prompts
--- a/internal/dispatch/prefixcache.go
+++ b/internal/dispatch/prefixcache.go
@@ -30,7 +30,7 @@
 
 // prefix returns how many tokens of a prompt's parts are cached, up to the first missing
 // one, and how many of these have been read, so that another engine can fetch them.
-func (c *cache) prefix(parts []wire.PromptPart) (kept, ready int) {
+func (c *cache) prefix(parts []wire.PromptPart) (cached, ready int) {
 	allReady := true
 	for _, p := range parts {
 		e := c.parts[p.Part]
@@ -39,15 +39,15 @@
 		}
 		own := e.Value.(*cachedPart)
 		n := min(own.tokens, int(p.Tokens))
-		kept += n
+		cached += n
 		if allReady = allReady && own.ready; allReady {
-			ready = kept
+			ready = cached
 		}
 		if n < int(p.Tokens) {
 			break
 		}
 	}
-	return kept, ready
+	return cached, ready
 }
 
 // add records a use of a part. ready tells whether the part has been read.
--- a/internal/dispatch/recordedusage.go
+++ b/internal/dispatch/recordedusage.go
@@ -66,8 +66,8 @@
 		if p.engine == nil {
 			continue
 		}
-		if heirs := n.heirsOf(p.id, now); len(heirs) > 0 && heirs[0] == n.set.ID {
-			for _, id := range heirs[1:] {
+		if group := n.heirsOf(p.id, now); len(group) > 0 && group[0] == n.set.ID {
+			for _, id := range group[1:] {
 				w := n.work(id)
 				w.Booked = append(w.Booked, p.meter.recordedUsage.unknownTo(id, p.id)...)
 			}
--- a/internal/dispatch/sharecoverage.go
+++ b/internal/dispatch/sharecoverage.go
@@ -35,8 +35,8 @@
 			continue
 		}
 		for org := range p.here.orgs {
-			if part := n.localCoverage(p, org, now); part < 1 {
-				out = append(out, ShareCoverage{Service: p.service, Org: n.reports.orgNames[org], Ratio: part})
+			if ratio := n.localCoverage(p, org, now); ratio < 1 {
+				out = append(out, ShareCoverage{Service: p.service, Org: n.reports.orgNames[org], Ratio: ratio})
 			}
 		}
 	}
--- a/internal/dispatch/shareupdate.go
+++ b/internal/dispatch/shareupdate.go
@@ -131,6 +131,6 @@
 		return p.here.capacity / float64(max(1, len(n.reports.orgNames)))
 	}
 	asked := windowTotal(&p.here.at(org, now).asked)
-	part := asked / max(1, float64(w.Asked))
-	return float64(w.Share) * min(1, max(part, minLocalShareRatio))
+	fraction := asked / max(1, float64(w.Asked))
+	return float64(w.Share) * min(1, max(fraction, minLocalShareRatio))
 }
--- a/internal/dispatch/undercapacity.go
+++ b/internal/dispatch/undercapacity.go
@@ -47,6 +47,6 @@
 // what is granted that others go first.
 func (m *meter) aboveGrantedShare(org version.ID, now time.Time) bool {
 	m.updateShares(now)
-	part, short := m.grantedShares[org]
-	return short && windowTotal(&m.usageOf(org).got) > maxGrantedRatio*part
+	share, short := m.grantedShares[org]
+	return short && windowTotal(&m.usageOf(org).got) > maxGrantedRatio*share
 }
