--- a/cmd/bench/tokens.go
+++ b/cmd/bench/tokens.go
@@ -26,7 +26,7 @@
 	{"without knowledge of kept parts", dispatch.Without{Parts: true}},
 	{"without fetching kept parts", dispatch.Without{Fetch: true}},
 	{"without a scheduler, each router alone", dispatch.Without{Scheduler: true}},
-	{"without preferring kept connections", dispatch.Without{Connection: true}},
+	{"without preferring kept connections", dispatch.Without{ConnReuse: true}},
 	{"without learning the engines' times", dispatch.Without{Learning: true}},
 }
 
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -129,19 +129,19 @@
 // start books a request at its upstream.
 func (p *pool) start(from wire.NodeID, a *wire.WorkAsk, c *choice, tokens float64, now time.Time) {
 	r := &run{
-		key:    runKey{from, a.No},
-		org:    a.Org,
-		cost:   tokens,
-		work:   c.work,
-		prompt: c.prompt,
-		tokens: ownTokens(int(a.Input), int(a.Output), a.Parts),
-		output: int(a.Output),
-		parts:  a.Parts,
-		until:  now.Add(time.Duration(a.LeftMS)*time.Millisecond + runGrace),
+		key:          runKey{from, a.No},
+		org:          a.Org,
+		cost:         tokens,
+		work:         c.work,
+		prompt:       c.prompt,
+		tokens:       privateTokens(int(a.Input), int(a.Output), a.Parts),
+		outputTokens: int(a.Output),
+		parts:        a.Parts,
+		until:        now.Add(time.Duration(a.LeftMS)*time.Millisecond + runGrace),
 	}
 	p.forget(r.key, false, now)
 	c.up.placeRun(r, now)
-	p.placedAt(c.up, now)
+	p.recordColdPlacement(c.up, now)
 	if p.late[from] {
 		r.entry.Doubt()
 	}
@@ -200,7 +200,7 @@
 		return ReasonNoUpstream
 	case !slices.ContainsFunc(p.order, func(u *upstream) bool { return u.mayRun(a.Regions) }):
 		return ReasonRegions
-	case p.isEvacuated():
+	case p.fullyEvacuated():
 		return ReasonEvacuated
 	case p.hasCold(now) && p.open(now) == 0:
 		return ReasonCold
@@ -216,7 +216,7 @@
 	case ReasonEvacuated, ReasonRegions:
 		return maxComeBack // nobody knows when that changes
 	case ReasonCold:
-		return min(max(p.warmIn(now), minComeBack), maxComeBack)
+		return min(max(p.timeUntilWarm(now), minComeBack), maxComeBack)
 	case ReasonBackoff:
 		return max(p.leastBackoff(a), minComeBack)
 	}
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -34,12 +34,12 @@
 		asked[org]++
 		f.arrive(id, no, engines, org, 4000)
 		switch o := f.got[id][no].(type) {
-		case Place:
+		case Placement:
 			begun := f.now
 			if free[o.Instance.ID].After(begun) {
 				begun = free[o.Instance.ID]
 			}
-			free[o.Instance.ID] = begun.Add(time.Duration(o.Work/30) * time.Millisecond)
+			free[o.Instance.ID] = begun.Add(time.Duration(o.ReadTokens/30) * time.Millisecond)
 			at := free[o.Instance.ID].Add(20 * time.Millisecond)
 			events = append(events, event{at, []Input{First{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.NoteDone}}})
 		case Refuse:
@@ -47,7 +47,7 @@
 			assert.Positive(t, o.After)
 		}
 		for range 3 { // 4,000 tokens in 30 ms: 133 a millisecond
-			f.run(TickEvery)
+			f.run(TickInterval)
 			for len(events) > 0 && !events[0].at.After(f.now) {
 				for _, in := range events[0].in {
 					f.nodes[id].Step(in, f.now)
@@ -85,11 +85,11 @@
 	}
 	tab, err := b.Build()
 	require.NoError(t, err)
-	assert.InDelta(t, 600, strictest(tab, "s"), 0)
+	assert.InDelta(t, 600, strictestTargetMS(tab, "s"), 0)
 	p := newPool(tab.Services["s"], 0)
 	a := &wire.WorkAsk{AimMS: 1000, LeftMS: 4000}
 	patient := p.waitLimit(a, &choice{}, 0)
-	p.aim = strictest(tab, "s")
+	p.aim = strictestTargetMS(tab, "s")
 	assert.InDelta(t, 0.6*patient, p.waitLimit(a, &choice{}, 0), 1)
 }
 
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -77,7 +77,7 @@
 func (p *pool) leastBackoff(a *wire.WorkAsk) time.Duration {
 	least := maxComeBack
 	for _, r := range a.Backoffs {
-		if p.ups[r.Upstream] != nil {
+		if p.upstreams[r.Upstream] != nil {
 			least = min(least, time.Duration(r.ForMS)*time.Millisecond)
 		}
 	}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 		assert.True(t, seen[first], "%s: others may use it", service)
-		f.run(3*time.Second + TickEvery)
+		f.run(3*time.Second + TickInterval)
 		for no := uint64(1); no <= 8; no++ {
 			for _, from := range f.order {
 				f.nodes[from].Step(End{ID: no, Event: wire.NoteDone}, f.now)
@@ -89,7 +89,7 @@
 		require.True(t, refused)
 		assert.Equal(t, ReasonBackoff, r.Reason)
 		assert.InDelta(t, 700, r.After.Milliseconds(), 1)
-		f.run(700*time.Millisecond + TickEvery)
+		f.run(700*time.Millisecond + TickInterval)
 		f.arrive(id, 2, service, "a", 200)
 		assert.Equal(t, ups[0], f.placed(id, 2).Instance.ID)
 	}
@@ -102,7 +102,7 @@
 	p := f.nodes[id].pools[serviceID(engines)]
 	f.retryAfter(id, "e0", time.Second)
 	for _, u := range p.order {
-		assert.Equal(t, u.inst.ID != "e0", p.acceptsAnswer(wire.WorkAnswer{Upstream: u.id}, nil, f.now))
+		assert.Equal(t, u.inst.ID != "e0", p.acceptsReply(wire.WorkAnswer{Upstream: u.id}, nil, f.now))
 	}
 }
 
--- a/internal/dispatch/booked.go
+++ b/internal/dispatch/booked.go
@@ -57,15 +57,15 @@
 
 // tickBooked tells the heirs of the services that this router schedules.
 func (n *Node) tickBooked(now time.Time) {
-	if now.Before(n.bookedDue) {
+	if now.Before(n.recordedUsageDue) {
 		return
 	}
-	n.bookedDue = now.Add(bookedEvery)
+	n.recordedUsageDue = now.Add(bookedEvery)
 	for _, p := range n.pools {
 		if p.engine == nil {
 			continue
 		}
-		if heirs := n.heirsOf(p.id, now); len(heirs) > 0 && heirs[0] == n.set.ID {
+		if heirs := n.schedulerGroup(p.id, now); len(heirs) > 0 && heirs[0] == n.settings.ID {
 			for _, id := range heirs[1:] {
 				w := n.work(id)
 				w.Booked = append(w.Booked, p.meter.booked.newsFor(id, p.id)...)
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -37,7 +37,7 @@
 func TestPlacementThatWasNotUsedTakesNoBudget(t *testing.T) {
 	f := newFleet(t, 1, 3)
 	id := f.order[0]
-	f.nodes[id].set.Retry = RetryRules{Ratio: 0, Window: 10 * time.Second, Slack: 0}
+	f.nodes[id].settings.Retry = RetryRules{Ratio: 0, Window: 10 * time.Second, Slack: 0}
 	f.arrive(id, 1, engines, "a", 100)
 	first := f.placed(id, 1)
 	f.nodes[id].Step(Again{ID: 1, Event: wire.NoteUnused}, f.now)
@@ -57,7 +57,7 @@
 	rules := RetryRules{Ratio: 0, Window: 10 * time.Second, Slack: 100}
 	service := serviceID(engines)
 	for _, id := range f.order {
-		f.nodes[id].set.Retry = rules
+		f.nodes[id].settings.Retry = rules
 	}
 	busy, quiet := f.order[0], f.order[1]
 	for range 90 {
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -37,11 +37,11 @@
 	read := func(org string) bool {
 		no++
 		f.arrive(id, no, engines, org, 3000)
-		if _, placed := f.got[id][no].(Place); !placed {
+		if _, placed := f.got[id][no].(Placement); !placed {
 			return false
 		}
 		after := 125 * time.Millisecond // as the model has it from the start
-		f.run(after.Round(TickEvery))
+		f.run(after.Round(TickInterval))
 		f.nodes[id].Step(First{ID: no, After: after}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.NoteDone}, f.now)
 		return true
--- a/internal/dispatch/cache.go
+++ b/internal/dispatch/cache.go
@@ -90,7 +90,7 @@
 const correctAfter = 600 * time.Millisecond
 
 // correct takes the engine's own word.
-func (c *cache) correct(in Kept, now time.Time) {
+func (c *cache) correct(in CacheUpdate, now time.Time) {
 	listed := map[uint64]bool{}
 	for _, k := range in.Parts {
 		listed[k.Part] = k.Tokens > 0
--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -10,7 +10,7 @@
 // strictest returns the least target of the routes that lead to a service, in
 // milliseconds. Waits at engines are kept within it for all of them: what waits
 // for a patient route makes the others wait too.
-func strictest(t *routing.Table, service string) float64 {
+func strictestTargetMS(t *routing.Table, service string) float64 {
 	least := 0.0
 	for _, r := range t.Routes {
 		for _, part := range r.Split {
@@ -24,36 +24,36 @@
 }
 
 // catalogue takes newer content of the platform's store.
-func (n *Node) catalogue(c Catalogue, now time.Time) {
-	before := n.cat
-	n.cat = c
-	n.cat.Instances, n.cat.Ended, n.cat.Part = nil, nil, false // the pools keep them
+func (n *Node) applyCatalogue(c Catalogue, now time.Time) {
+	before := n.catalogue
+	n.catalogue = c
+	n.catalogue.Instances, n.catalogue.Ended, n.catalogue.Incremental = nil, nil, false // the pools keep them
 	if c.Table != nil && c.Table != before.Table {
 		n.reports.setNames(c)
 	}
 	if c.Table == nil {
-		n.noteEvacuations(before.Evacuated, c.Evacuated)
+		n.logEvacuations(before.Evacuated, c.Evacuated)
 		return
 	}
-	if c.Part {
+	if c.Incremental {
 		if c.Table != before.Table {
-			n.takeTable(c.Table)
+			n.applyTable(c.Table)
 		}
-		n.takeChanges(c, now)
+		n.applyChanges(c, now)
 	} else {
-		n.takeWhole(c, now)
+		n.applyFullCatalogue(c, now)
 	}
-	n.noteEvacuations(before.Evacuated, c.Evacuated)
+	n.logEvacuations(before.Evacuated, c.Evacuated)
 	evacuated := routing.EvacuatedPlaces(c.Evacuated)
 	for _, p := range n.pools {
-		p.evacuate(evacuated, now)
+		p.setEvacuated(evacuated, now)
 		p.setCapacity(c.Table.Limits.TokensPerSecond)
 	}
 	n.announceFetched(before.AsOf, now)
 }
 
-// takeChanges takes what was put and what ended since the last catalogue.
-func (n *Node) takeChanges(c Catalogue, now time.Time) {
+// applyChanges takes what was put and what ended since the last catalogue.
+func (n *Node) applyChanges(c Catalogue, now time.Time) {
 	born := map[string]int64{}
 	for _, i := range c.Instances {
 		born[i.ID] = i.Born
@@ -64,21 +64,21 @@
 	for _, e := range c.Ended {
 		if p, u := n.upstreamOf(e.Instance); u != nil {
 			p.drop(u)
-			n.ended(p, u, born[u.inst.ID], now)
+			n.upstreamDelisted(p, u, born[u.inst.ID], now)
 		}
 	}
-	n.countPlaces()
+	n.updateUpstreamPlaces()
 }
 
-// takeTable takes a table that names the same services as the one before.
-func (n *Node) takeTable(t *routing.Table) {
+// applyTable takes a table that names the same services as the one before.
+func (n *Node) applyTable(t *routing.Table) {
 	for _, s := range t.Services {
 		n.poolOf(s, t)
 	}
 }
 
-// takeWhole takes a whole catalogue: what is not in it has ended.
-func (n *Node) takeWhole(c Catalogue, now time.Time) {
+// applyFullCatalogue takes a whole catalogue: what is not in it has ended.
+func (n *Node) applyFullCatalogue(c Catalogue, now time.Time) {
 	by, born := map[string][]routing.Instance{}, map[string]int64{}
 	for _, i := range c.Instances {
 		by[i.Service] = append(by[i.Service], i)
@@ -87,7 +87,7 @@
 	for _, s := range c.Table.Services {
 		p := n.poolOf(s, c.Table)
 		for _, u := range p.setInstances(by[s.Name]) {
-			n.ended(p, u, born[u.inst.ID], now)
+			n.upstreamDelisted(p, u, born[u.inst.ID], now)
 		}
 	}
 	for id, p := range n.pools {
@@ -95,7 +95,7 @@
 			delete(n.pools, id)
 		}
 	}
-	n.countPlaces()
+	n.updateUpstreamPlaces()
 }
 
 // poolOf returns a service's pool as the table describes it.
@@ -104,22 +104,22 @@
 	p := n.pools[id]
 	if p == nil {
 		p = newPool(s, t.Limits.TokensPerSecond)
-		p.without = n.set.Without
-		p.regions = n.set.Regions
+		p.without = n.settings.Without
+		p.regions = n.settings.Regions
 		n.pools[id] = p
 	}
 	p.cold = s.Cold
-	p.aim = strictest(t, s.Name)
+	p.aim = strictestTargetMS(t, s.Name)
 	p.urgency = urgencyOf(t, s.Name)
 	return p
 }
 
 // ended takes an upstream that has left the list. born is of the start that is listed under
 // its ID now, if there is one.
-func (n *Node) ended(p *pool, u *upstream, born int64, now time.Time) {
-	n.out = append(n.out, Gone{Instance: u.inst, Restarted: born > u.inst.Born})
+func (n *Node) upstreamDelisted(p *pool, u *upstream, born int64, now time.Time) {
+	n.out = append(n.out, UpstreamGone{Instance: u.inst, Restarted: born > u.inst.Born})
 	n.entryGone(u.inst, now)
-	p.startedAgain(u.inst, born, now)
+	p.markRestarted(u.inst, born, now)
 }
 
 // upstreamOf returns what this router knows of an instance, and its service's pool; nil where
@@ -129,11 +129,11 @@
 	if p == nil {
 		return nil, nil
 	}
-	return p, p.ups[version.IDOf(i.Start())]
+	return p, p.upstreams[version.IDOf(i.Start())]
 }
 
-// countPlaces notes in which places upstreams stand.
-func (n *Node) countPlaces() {
+// updateUpstreamPlaces notes in which places upstreams stand.
+func (n *Node) updateUpstreamPlaces() {
 	n.upstreamPlaces = map[string]bool{}
 	for _, p := range n.pools {
 		for _, set := range p.places {
@@ -142,13 +142,15 @@
 	}
 }
 
-// aloneFor is how long a router that has heard no other one may be one of many that start:
+// loneRouterTimeout is how long a router that has heard no other one may be one of many that start:
 // after it, it takes itself for the whole fleet.
-const aloneFor = time.Second
+const loneRouterTimeout = time.Second
 
 // KnowsFleet reports whether this router has heard another one, or has been alone for so
 // long that there is none.
-func (n *Node) KnowsFleet(now time.Time) bool { return n.Heard() || now.Sub(n.begun) >= aloneFor }
+func (n *Node) KnowsFleet(now time.Time) bool {
+	return n.HasPeers() || now.Sub(n.startedAt) >= loneRouterTimeout
+}
 
 // Scheduled returns the engines that this router schedules and that are in use: of the
 // others there is nothing to learn. While it knows no fleet it schedules none: asking an
@@ -156,13 +158,13 @@
 //
 // Load pattern: 195 routers lose power, and the seeds come back last. Each took itself for
 // the scheduler for 0.4 s and asked 78 engines for all that they keep, 15,000 calls.
-func (n *Node) Scheduled(now time.Time) []routing.Instance {
+func (n *Node) ScheduledEngines(now time.Time) []routing.Instance {
 	var out []routing.Instance
 	if !n.KnowsFleet(now) {
 		return nil
 	}
 	for _, p := range n.pools {
-		if p.engine == nil || n.schedulerOf(p.id, now) != n.set.ID {
+		if p.engine == nil || n.schedulerOf(p.id, now) != n.settings.ID {
 			continue
 		}
 		for _, u := range p.inUse() {
@@ -175,12 +177,12 @@
 }
 
 // kept corrects the model by what an engine itself says it keeps.
-func (n *Node) kept(in Kept, now time.Time) {
+func (n *Node) applyCacheUpdate(in CacheUpdate, now time.Time) {
 	id := version.IDOf(in.Instance)
 	for _, p := range n.pools {
-		if u := p.ups[id]; u != nil && u.cache != nil {
+		if u := p.upstreams[id]; u != nil && u.cache != nil {
 			u.cache.correct(in, now)
-			u.told = now
+			u.cacheReportedAt = now
 		}
 	}
 }
--- a/internal/dispatch/cold.go
+++ b/internal/dispatch/cold.go
@@ -35,64 +35,64 @@
 const (
 	// coldWindow is the time over which the rules count.
 	coldWindow = time.Second
-	// coldSchedulers is how many schedulers may place at cold upstreams at once: one that is
-	// cut off finds that out after heardWithin, or halves of a fleet that has just started.
-	coldSchedulers = 2
-	// coldSettle is how long a router must have been scheduler: the window, and the time in
+	// maxColdSchedulers is how many schedulers may place at cold upstreams at once: one that is
+	// cut off finds that out after quorumWindow, or halves of a fleet that has just started.
+	maxColdSchedulers = 2
+	// coldSettleDelay is how long a router must have been scheduler: the window, and the time in
 	// which its predecessor's placements are sent.
-	coldSettle = coldWindow + askMost + coldSendIn
-	// coldSendIn is how long after its placement a request may be sent to a cold upstream.
+	coldSettleDelay = coldWindow + maxPlacementTimeout + coldSendTimeout
+	// coldSendTimeout is how long after its placement a request may be sent to a cold upstream.
 	// What is sent later could meet what is placed for the next second.
-	coldSendIn = 200 * time.Millisecond
-	// coldSpacing is the part of the time between two placements at the full rate by which
+	coldSendTimeout = 200 * time.Millisecond
+	// coldEarlyRatio is the part of the time between two placements at the full rate by which
 	// one may come early: requests do not come at even times.
-	coldSpacing = 0.5
-	// coldLate is how far routers' beliefs of the end of a cold time may differ: an entry is
+	coldEarlyRatio = 0.5
+	// coldEndTolerance is how far routers' beliefs of the end of a cold time may differ: an entry is
 	// heard that much later where a datagram was lost.
-	coldLate = 300 * time.Millisecond
+	coldEndTolerance = 300 * time.Millisecond
 )
 
 // coldState is what is believed of an upstream beside what its entry says, and what was
 // placed there lately.
 type coldState struct {
-	until    time.Time // it may be cold until then though its entry does not say so
-	why      ColdReason
-	unproved bool        // it may start again, and has not answered since
-	answered time.Time   // last
-	placed   []time.Time // in the last coldWindow, oldest first
-	next     time.Time   // of the next placement while it is cold
-	logged   bool
+	until       time.Time // it may be cold until then though its entry does not say so
+	reason      ColdReason
+	unconfirmed bool        // it may start again, and has not answered since
+	answeredAt  time.Time   // last
+	placed      []time.Time // in the last coldWindow, oldest first
+	nextAt      time.Time   // of the next placement while it is cold
+	logged      bool
 }
 
 // suspect takes an upstream for cold until a time.
 func (c *coldState) suspect(until time.Time, why ColdReason) {
 	if until.After(c.until) {
-		c.until, c.why = until, why
+		c.until, c.reason = until, why
 	}
 }
 
 // place books a placement.
-func (c *coldState) place(rate float64, now time.Time) {
-	c.forget(now)
+func (c *coldState) recordPlacement(rate float64, now time.Time) {
+	c.dropOld(now)
 	c.placed = append(c.placed, now)
 	gap := time.Duration(float64(time.Second) / rate)
-	from := now.Add(-time.Duration(coldSpacing * float64(gap)))
-	if c.next.After(from) {
-		from = c.next
+	from := now.Add(-time.Duration(coldEarlyRatio * float64(gap)))
+	if c.nextAt.After(from) {
+		from = c.nextAt
 	}
 	if from.After(now) {
 		from = now // it was warm, and took more than its cold rate
 	}
-	c.next = from.Add(gap)
+	c.nextAt = from.Add(gap)
 }
 
 // has reports whether another placement fits under so many in any second.
-func (c *coldState) has(most int, now time.Time) bool {
-	c.forget(now)
-	return len(c.placed) < most && !now.Before(c.next)
+func (c *coldState) admits(most int, now time.Time) bool {
+	c.dropOld(now)
+	return len(c.placed) < most && !now.Before(c.nextAt)
 }
 
-func (c *coldState) forget(now time.Time) {
+func (c *coldState) dropOld(now time.Time) {
 	old := 0
 	for old < len(c.placed) && now.Sub(c.placed[old]) >= coldWindow {
 		old++
@@ -105,7 +105,7 @@
 	if u.inst.ColdUntil.After(u.cold.until) {
 		return u.inst.ColdUntil, ColdStated
 	}
-	return u.cold.until, u.cold.why
+	return u.cold.until, u.cold.reason
 }
 
 // isCold reports whether an upstream is believed to be cold, for longer than a time.
@@ -119,17 +119,17 @@
 	return p.cold.PerSecond > 0 && u.isCold(0, now)
 }
 
-// coldRoom reports whether an upstream takes another request: while it is cold, within
+// admitsIfCold reports whether an upstream takes another request: while it is cold, within
 // what this router may place there.
-func (p *pool) coldRoom(u *upstream, now time.Time) bool {
-	return !p.isCold(u, now) || u.cold.has(p.coldMost, now)
+func (p *pool) admitsIfCold(u *upstream, now time.Time) bool {
+	return !p.isCold(u, now) || u.cold.admits(p.coldLimit, now)
 }
 
-// placedAt books a placement at an upstream whose service bounds what cold ones take.
+// recordColdPlacement books a placement at an upstream whose service bounds what cold ones take.
 // Placements before it turned cold count too: they may arrive after.
-func (p *pool) placedAt(u *upstream, now time.Time) {
+func (p *pool) recordColdPlacement(u *upstream, now time.Time) {
 	if p.cold.PerSecond > 0 {
-		u.cold.place(p.cold.PerSecond, now)
+		u.cold.recordPlacement(p.cold.PerSecond, now)
 	}
 }
 
@@ -139,8 +139,8 @@
 	return slices.ContainsFunc(p.order, func(u *upstream) bool { return !u.closed() && p.isCold(u, now) })
 }
 
-// warmIn is how long it takes until some upstream is no longer cold.
-func (p *pool) warmIn(now time.Time) time.Duration {
+// timeUntilWarm is how long it takes until some upstream is no longer cold.
+func (p *pool) timeUntilWarm(now time.Time) time.Duration {
 	least := p.cold.For
 	for _, u := range p.order {
 		if until, _ := u.coldUntil(); !u.closed() {
@@ -150,30 +150,30 @@
 	return least
 }
 
-// coldMost is how many requests a second this router may place at a cold upstream.
-func (n *Node) coldMost(p *pool, now time.Time) int {
+// coldLimit is how many requests a second this router may place at a cold upstream.
+func (n *Node) coldLimit(p *pool, now time.Time) int {
 	rate := p.cold.PerSecond
-	if rate <= 0 || !n.schedulesColdOnes(p.id, now) {
+	if rate <= 0 || !n.mayPlaceAtCold(p.id, now) {
 		return 0
 	}
-	allowed := rate*n.set.Cold.Overage + n.set.Cold.Slack
-	return int(min(max(1, math.Floor(rate)), math.Floor(allowed/coldSchedulers)))
+	allowed := rate*n.settings.Cold.Overage + n.settings.Cold.Slack
+	return int(min(max(1, math.Floor(rate)), math.Floor(allowed/maxColdSchedulers)))
 }
 
-// judgeCold prepares a decision: what this router may place at cold upstreams, and whether
+// prepareColdDecision prepares a decision: what this router may place at cold upstreams, and whether
 // it may not know which are.
-func (n *Node) judgeCold(p *pool, now time.Time) {
-	p.coldMost, p.blind = 0, false
+func (n *Node) prepareColdDecision(p *pool, now time.Time) {
+	p.coldLimit, p.mayMissCold = 0, false
 	if p.cold.PerSecond > 0 {
-		p.coldMost, p.blind = n.coldMost(p, now), n.mayMissNews(now)
+		p.coldLimit, p.mayMissCold = n.coldLimit(p, now), n.mayMissColdStart(now)
 	}
 }
 
-// schedulesColdOnes reports whether this router is a scheduler that may place at cold
+// mayPlaceAtCold reports whether this router is a scheduler that may place at cold
 // upstreams.
-func (n *Node) schedulesColdOnes(service version.ID, now time.Time) bool {
-	since, scheduler := n.beats.since[service]
-	return scheduler && now.Sub(since) >= coldSettle && n.schedulerOf(service, now) == n.set.ID && n.quorum.holds(n, now)
+func (n *Node) mayPlaceAtCold(service version.ID, now time.Time) bool {
+	since, scheduler := n.heartbeats.schedulingSince[service]
+	return scheduler && now.Sub(since) >= coldSettleDelay && n.schedulerOf(service, now) == n.settings.ID && n.quorum.holds(n, now)
 }
 
 // ColdChange is a change of what is believed of an upstream.
@@ -186,8 +186,8 @@
 
 func (ColdChange) output() {}
 
-// tickCold tells which upstreams are believed to have turned cold, or warm.
-func (n *Node) tickCold(now time.Time) {
+// reportColdChanges tells which upstreams are believed to have turned cold, or warm.
+func (n *Node) reportColdChanges(now time.Time) {
 	for _, p := range n.pools {
 		if p.cold.PerSecond <= 0 {
 			continue
@@ -201,7 +201,7 @@
 			c := ColdChange{Instance: u.inst}
 			if cold {
 				until, why := u.coldUntil()
-				c.Why, c.For, c.Allowed = why, until.Sub(now), n.coldMost(p, now)
+				c.Why, c.For, c.Allowed = why, until.Sub(now), n.coldLimit(p, now)
 			}
 			n.out = append(n.out, c)
 		}
--- a/internal/dispatch/cold_world_test.go
+++ b/internal/dispatch/cold_simulation_test.go
@@ -69,7 +69,7 @@
 }
 
 type drawnSend struct {
-	place Place
+	place Placement
 	by    wire.NodeID
 	at    time.Time
 }
@@ -159,7 +159,7 @@
 	d.learned[id] = known
 	n := d.news[known-1]
 	d.nodes[id].Step(Catalogue{Table: coldTable(d.t), Instances: n.list, Evacuated: n.evacuated, Revision: uint64(10 + known), AsOf: uint64(10 + known)}, d.now)
-	d.nodes[id].Step(Sighted{}, d.now)
+	d.nodes[id].Step(StoreRead{}, d.now)
 }
 
 // hears reports whether a router, or one that it hears, reaches the store.
@@ -244,7 +244,7 @@
 
 // runTick is a tick of those that run.
 func (d *drawn) runTick() {
-	d.now = d.now.Add(TickEvery)
+	d.now = d.now.Add(TickInterval)
 	for _, id := range d.order {
 		if !d.cut[id] {
 			d.nodes[id].Tick(d.now)
@@ -267,7 +267,7 @@
 		got := d.got[id]
 		for _, no := range slices.Sorted(maps.Keys(got)) {
 			o := got[no]
-			if p, placed := o.(Place); placed {
+			if p, placed := o.(Placement); placed {
 				wait := time.Duration(d.rnd.ExpFloat64() * float64(15*time.Millisecond))
 				d.sends = append(d.sends, drawnSend{p, id, d.now.Add(wait)})
 			}
@@ -300,7 +300,7 @@
 	}
 	since := d.now.Sub(d.began.Add(coldAt))
 	isCold := s.place.Instance.Place == "p" && since >= 0 && since < coldFor
-	if s.place.Look && isCold {
+	if s.place.CheckHealth && isCold {
 		n.Step(Looked{Instance: s.place.Instance, ColdFor: coldFor - since}, d.now)
 		n.Step(Again{ID: s.place.ID, Event: wire.NoteUnused}, d.now)
 		return
@@ -325,7 +325,7 @@
 	if d.how == coldDark {
 		return 400 * time.Millisecond
 	}
-	return TickEvery
+	return TickInterval
 }
 
 // endFailed ends the requests whose upstream is down.
@@ -349,10 +349,10 @@
 	for range faults {
 		at = append(at, d.began.Add(500*time.Millisecond+time.Duration(d.rnd.Int64N(int64(4500*time.Millisecond)))))
 	}
-	const perTick = 40 * drawnEngines * float64(TickEvery) / float64(time.Second)
+	const perTick = 40 * drawnEngines * float64(TickInterval) / float64(time.Second)
 	for d.now.Sub(d.began) < drawnFor {
 		for i := range at {
-			if d.now.Sub(at[i]) >= 0 && d.now.Sub(at[i]) < TickEvery {
+			if d.now.Sub(at[i]) >= 0 && d.now.Sub(at[i]) < TickInterval {
 				d.fault()
 			}
 		}
@@ -382,7 +382,7 @@
 	counts := map[string]int{}
 	for _, s := range sends {
 		after := s.at.Sub(d.began.Add(coldAt)).Truncate(250 * time.Millisecond)
-		counts[fmt.Sprintf("%s by %s placed by %s cold %v look %v", after, s.by[7:], s.place.By[7:], s.place.Cold, s.place.Look)]++
+		counts[fmt.Sprintf("%s by %s placed by %s cold %v look %v", after, s.by[7:], s.place.By[7:], s.place.Cold, s.place.CheckHealth)]++
 	}
 	out := fmt.Sprintf("from %s after they turned cold:", sends[0].at.Sub(d.began.Add(coldAt)))
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -29,7 +29,7 @@
 	f := newFleet(t, nodes, ups)
 	for _, id := range f.order {
 		n := f.nodes[id]
-		n.set.Cold = coldRules
+		n.settings.Cold = coldRules
 		n.Step(Catalogue{Table: coldTable(t), Instances: instances(ups), Revision: 6, AsOf: 10}, f.now)
 	}
 	f.run(2 * time.Second)
@@ -57,12 +57,12 @@
 				continue
 			}
 			f.arrive(id, *no, engines, "a", 100)
-			if p, placed := f.got[id][*no].(Place); placed {
+			if p, placed := f.got[id][*no].(Placement); placed {
 				got[p.Instance.ID] = append(got[p.Instance.ID], f.now)
 				f.nodes[id].Step(End{ID: *no, Event: wire.NoteDone}, f.now)
 			}
 		}
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
 	return got
 }
@@ -144,9 +144,9 @@
 	f := newColdFleet(t, 5, 1)
 	s := f.scheduler()
 	f.turnCold(1, 30*time.Second, 0)
-	f.run(coldSettle)
+	f.run(coldSettleDelay)
 	f.cut[s] = true
-	f.run(heardWithin + quorumEvery)
+	f.run(quorumWindow + quorumCacheTTL)
 	for no := range uint64(5) {
 		f.arrive(s, no+1, engines, "a", 100)
 		r, refused := f.got[s][no+1].(Refuse)
@@ -194,7 +194,7 @@
 	u := f.nodes[id].pools[serviceID(engines)].order[0]
 	end := func(no uint64, event uint8) {
 		f.arrive(id, no, engines, "a", 100)
-		if _, placed := f.got[id][no].(Place); placed {
+		if _, placed := f.got[id][no].(Placement); placed {
 			f.nodes[id].Step(End{ID: no, Event: event}, f.now)
 		}
 		f.run(100 * time.Millisecond)
@@ -244,12 +244,12 @@
 }
 
 func TestPlacementMaySendOnlyInItsTime(t *testing.T) {
-	cold := Place{Cold: true, SendBy: start.Add(coldSendIn)}
+	cold := Placement{Cold: true, SendBy: start.Add(coldSendTimeout)}
 	assert.True(t, cold.MaySend(start.Add(time.Minute), start))
-	assert.False(t, cold.MaySend(time.Time{}, start.Add(coldSendIn)))
-	warm := Place{}
+	assert.False(t, cold.MaySend(time.Time{}, start.Add(coldSendTimeout)))
+	warm := Placement{}
 	assert.True(t, warm.MaySend(time.Time{}, start))
-	assert.True(t, warm.MaySend(start.Add(coldLate), start), "it may be warm by now")
+	assert.True(t, warm.MaySend(start.Add(coldEndTolerance), start), "it may be warm by now")
 	assert.False(t, warm.MaySend(start.Add(time.Second), start), "it has turned cold since")
 }
 
@@ -258,7 +258,7 @@
 func TestColdPlainUpstreamsAreScheduled(t *testing.T) {
 	f := newColdFleet(t, 4, 1)
 	for _, id := range f.order {
-		f.nodes[id].cat.Table.Services[counter].Cold = routing.Cold{For: 3 * time.Second, PerSecond: coldRate}
+		f.nodes[id].catalogue.Table.Services[counter].Cold = routing.Cold{For: 3 * time.Second, PerSecond: coldRate}
 	}
 	list := instances(1)
 	list[1].ColdUntil = f.now.Add(10 * time.Second)
@@ -272,7 +272,7 @@
 			got = append(got, f.now)
 		}
 		f.nodes[id].Step(End{ID: no + 1, Event: wire.NoteDone}, f.now)
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
 	assert.LessOrEqual(t, mostIn(got), 9)
 	assert.NotEmpty(t, got)
--- a/internal/dispatch/coldreasons.go
+++ b/internal/dispatch/coldreasons.go
@@ -11,9 +11,9 @@
 // Why an upstream is taken for cold beside what its entry says: the entry may be written
 // late, and an upstream may start again under the entry that it had.
 
-// silentStart is for how long an upstream must have answered nothing, while it failed
+// silentRestartAfter is for how long an upstream must have answered nothing, while it failed
 // requests, to be taken for one that may start again.
-const silentStart = time.Second
+const silentRestartAfter = time.Second
 
 // ColdReason says why an upstream is believed to be cold.
 type ColdReason uint8
@@ -35,26 +35,26 @@
 	return [...]string{"", "stated", "started", "place-returned", "was-silent", "refused-connection", "health", "told"}[r]
 }
 
-// startedAgain takes an upstream whose former start has ended for one that has just started,
+// markRestarted takes an upstream whose former start has ended for one that has just started,
 // when it is listed as born later.
-func (p *pool) startedAgain(former routing.Instance, born int64, now time.Time) {
+func (p *pool) markRestarted(former routing.Instance, born int64, now time.Time) {
 	if born <= former.Born {
 		return
 	}
 	former.Born = born
-	if u := p.ups[version.IDOf(former.Start())]; u != nil {
+	if u := p.upstreams[version.IDOf(former.Start())]; u != nil {
 		u.cold.suspect(now.Add(p.cold.For), ColdStarted)
 	}
 }
 
-// suspectStart takes an upstream for one that may start again at any moment, and is cold
+// suspectRestart takes an upstream for one that may start again at any moment, and is cold
 // when it does: it has refused a connection, or it fails requests and has answered none for
 // a while. Its entry may say so only after that.
-func (p *pool) suspectStart(u *upstream, refused bool, now time.Time) {
+func (p *pool) suspectRestart(u *upstream, refused bool, now time.Time) {
 	if p.cold.PerSecond <= 0 {
 		return
 	}
-	silent := u.rest.resting(now) && now.Sub(u.cold.answered) >= silentStart
+	silent := u.ejection.resting(now) && now.Sub(u.cold.answeredAt) >= silentRestartAfter
 	if !refused && !silent {
 		return
 	}
@@ -63,23 +63,23 @@
 		why = ColdRefused
 	}
 	next := now
-	if u.rest.until.After(now) {
-		next = u.rest.until // nothing is sent there before
+	if u.ejection.until.After(now) {
+		next = u.ejection.until // nothing is sent there before
 	}
 	u.cold.suspect(next.Add(p.cold.For), why)
-	u.cold.unproved = true
+	u.cold.unconfirmed = true
 }
 
 // doubts returns this router's own reasons to take upstreams for cold, for those that may
 // schedule next. Load pattern: an upstream is down for two seconds, its scheduler is killed
 // or cut off, and it starts again under the entry that it had.
-func (n *Node) doubts(now time.Time) (out []wire.Doubt) {
+func (n *Node) suspicions(now time.Time) (out []wire.Doubt) {
 	for _, p := range n.pools {
 		if p.cold.PerSecond <= 0 {
 			continue
 		}
 		for _, u := range p.order {
-			if u.cold.until.After(now) && u.cold.why != ColdTold {
+			if u.cold.until.After(now) && u.cold.reason != ColdTold {
 				out = append(out, wire.Doubt{Upstream: u.id, ForMS: leftMS(u.cold.until, now)})
 			}
 		}
@@ -87,50 +87,50 @@
 	return out
 }
 
-// mostDoubt bounds what a peer's word may keep from an upstream.
-const mostDoubt = 10 * time.Second
+// maxSuspicionTTL bounds what a peer's word may keep from an upstream.
+const maxSuspicionTTL = 10 * time.Second
 
-// heardDoubts takes another router's.
-func (n *Node) heardDoubts(list []wire.Doubt, now time.Time) {
+// handleSuspicions takes another router's.
+func (n *Node) handleSuspicions(list []wire.Doubt, now time.Time) {
 	for _, d := range list {
 		for _, p := range n.pools {
-			if u := p.ups[d.Upstream]; u != nil && p.cold.PerSecond > 0 {
-				u.cold.suspect(now.Add(min(time.Duration(d.ForMS)*time.Millisecond, mostDoubt)), ColdTold)
+			if u := p.upstreams[d.Upstream]; u != nil && p.cold.PerSecond > 0 {
+				u.cold.suspect(now.Add(min(time.Duration(d.ForMS)*time.Millisecond, maxSuspicionTTL)), ColdTold)
 			}
 		}
 	}
 }
 
-// sawRefusal takes a refused connection that this router has seen itself where another one
+// noteConnRefused takes a refused connection that this router has seen itself where another one
 // had placed the request: that one may be out of reach next.
-func (n *Node) sawRefusal(f *flight, event uint8, now time.Time) {
+func (n *Node) noteConnRefused(f *flight, event uint8, now time.Time) {
 	p := n.pools[f.pool]
-	if p == nil || f.by == n.set.ID || event != wire.NoteRefused {
+	if p == nil || f.by == n.settings.ID || event != wire.NoteRefused {
 		return
 	}
-	if u := p.ups[f.placed]; u != nil {
-		p.suspectStart(u, true, now)
+	if u := p.upstreams[f.placed]; u != nil {
+		p.suspectRestart(u, true, now)
 	}
 }
 
-// answeredAgain notes an answer: one that might have started again has done so by now.
-func (p *pool) answeredAgain(u *upstream, now time.Time) {
-	if u.cold.unproved {
-		u.cold.unproved = false
+// markAnswered notes an answer: one that might have started again has done so by now.
+func (p *pool) markAnswered(u *upstream, now time.Time) {
+	if u.cold.unconfirmed {
+		u.cold.unconfirmed = false
 		u.cold.until = now.Add(p.cold.For)
 	}
-	u.cold.answered = now
+	u.cold.answeredAt = now
 }
 
 // looked takes what an upstream's own health says.
-func (n *Node) looked(in Looked, now time.Time) {
+func (n *Node) healthChecked(in Looked, now time.Time) {
 	p, u := n.upstreamOf(in.Instance)
 	if u == nil {
 		return
 	}
 	if in.ColdFor == 0 {
-		u.rest.failed(now)
-		p.suspectStart(u, false, now)
+		u.ejection.failed(now)
+		p.suspectRestart(u, false, now)
 		return
 	}
 	u.cold.suspect(now.Add(in.ColdFor), ColdHealth)
--- a/internal/dispatch/covered.go
+++ b/internal/dispatch/covered.go
@@ -45,7 +45,7 @@
 func (n *Node) coveredHere(p *pool, org version.ID, now time.Time) float64 {
 	here := p.here.at(org, now)
 	placed := coverRoom * total(&here.got) / max(1, total(&here.asked))
-	if n.schedulerOf(p.id, now) == n.set.ID {
+	if n.schedulerOf(p.id, now) == n.settings.ID {
 		return max(placed, p.meter.coveredByShare(org, now))
 	}
 	return max(placed, n.coveredAlone(p, org, now))
@@ -53,7 +53,7 @@
 
 // coveredAlone is the part that the share covers, by the scheduler's word.
 func (n *Node) coveredAlone(p *pool, org version.ID, now time.Time) float64 {
-	w := n.words.heard[orgAt{p.id, org}]
+	w := n.shareUpdates.heard[orgAt{p.id, org}]
 	if w.at.IsZero() || n.aloneOver(p, org, now) < 1 {
 		return 1
 	}
--- a/internal/dispatch/covered_test.go
+++ b/internal/dispatch/covered_test.go
@@ -42,7 +42,7 @@
 	n := f.nodes[id]
 	p := n.pools[serviceID(engines)]
 	org := version.IDOf("flood")
-	n.words.heard[orgAt{p.id, org}] = heardWord{wire.ShareWord{Service: p.id, Org: org, Over: 400, Share: 10_000, Asked: 1_000_000}, f.now}
+	n.shareUpdates.heard[orgAt{p.id, org}] = heardWord{wire.ShareWord{Service: p.id, Org: org, Over: 400, Share: 10_000, Asked: 1_000_000}, f.now}
 	here := p.here.at(org, f.now)
 	here.asked, here.got = [shareSteps]float64{1_000_000}, [shareSteps]float64{40_000}
 	assert.InDelta(t, coverRoom*0.04, n.coveredHere(p, org, f.now), 1e-9)
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -107,7 +107,7 @@
 
 // stateHeld tells a router what this one holds, as one number.
 func (n *Node) stateHeld(to wire.NodeID) {
-	c := n.box.Crashes(to)
+	c := n.outbox.Crashes(to)
 	c.Stated, c.Sum = true, n.crashes.Sum()
 }
 
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -62,7 +62,7 @@
 	for i := range quarantine.HoldAfter {
 		assert.Zero(t, f.holders(guilty))
 		f.crash(f.order[i], guilty, list[i])
-		f.run(2 * TickEvery)
+		f.run(2 * TickInterval)
 	}
 	assert.Equal(t, len(f.order), f.holders(guilty))
 }
@@ -73,7 +73,7 @@
 	list := instances(9)
 	for i := range 9 {
 		f.broke(f.order[i%3], guilty, list[i], true)
-		f.run(2 * TickEvery)
+		f.run(2 * TickInterval)
 	}
 	f.run(5 * time.Second)
 	assert.Zero(t, f.stateAt(f.order[0], guilty).Crashes)
@@ -94,7 +94,7 @@
 			f.run(3600 * time.Millisecond)
 			f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: all[i+1:], Revision: uint64(7 + i), AsOf: uint64(10 + i)}, f.now)
 		}
-		f.run(2 * TickEvery)
+		f.run(2 * TickInterval)
 		assert.Equal(t, !draining, f.holds(id, guilty), "draining %v", draining)
 	}
 }
@@ -183,7 +183,7 @@
 	id := f.order[1]
 	f.nodes[id] = New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{f.order[0]}, Retry: DefaultRetryRules, Seed: 9}, f.now)
 	f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: instances(8), Revision: 5, AsOf: 9}, f.now)
-	f.run(beatEvery + 2*TickEvery)
+	f.run(heartbeatInterval + 2*TickInterval)
 	assert.True(t, f.holds(id, guilty))
 }
 
@@ -198,7 +198,7 @@
 	id := f.order[1]
 	for inc := range wire.Incarnation(2) {
 		f.nodes[id] = New(Settings{ID: id, Inc: 2 + inc, Place: "p", Seeds: []wire.NodeID{f.order[0]}, Retry: DefaultRetryRules, Seed: 9}, f.now)
-		f.run(2 * TickEvery)
+		f.run(2 * TickInterval)
 		assert.True(t, f.holds(id, guilty), "start %d", inc)
 		f.run(100 * time.Millisecond)
 	}
@@ -206,10 +206,10 @@
 
 // The same in a fleet where only some routers tell everyone, in turn.
 func TestLargeFleetHoldsWhatThreeRoutersSaw(t *testing.T) {
-	f := newFleet(t, meshUpTo+8, 8)
+	f := newFleet(t, meshMaxRouters+8, 8)
 	for i := range quarantine.HoldAfter {
 		f.crash(f.order[i], guilty, instances(8)[i])
-		f.run(2 * TickEvery)
+		f.run(2 * TickInterval)
 	}
 	assert.Equal(t, len(f.order), f.holders(guilty))
 	id := f.order[len(f.order)-1]
@@ -224,11 +224,11 @@
 	f := newFleet(t, 3, 8)
 	f.crash(f.order[0], guilty, instances(8)[0])
 	f.crash(f.order[1], guilty, instances(8)[1])
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	f.nodes[f.order[2]].Step(Answered{Content: guilty}, f.now)
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	f.crash(f.order[0], guilty, instances(8)[2])
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	assert.Zero(t, f.holders(guilty))
 	assert.Equal(t, 1, f.stateAt(f.order[1], guilty).Crashes)
 }
@@ -248,7 +248,7 @@
 	f.run(time.Second)
 	assert.Zero(t, f.holders(guilty))
 	f.nodes[f.order[1]].Step(Answered{Content: guilty}, f.now)
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	for _, id := range f.order {
 		assert.Zero(t, f.stateAt(id, guilty).Crashes)
 	}
@@ -361,7 +361,7 @@
 			third := f.now
 			known := map[wire.NodeID]bool{}
 			for f.now.Sub(third) < 2*time.Second && len(known) < routers {
-				f.run(TickEvery)
+				f.run(TickInterval)
 				for _, id := range f.order {
 					if !known[id] && f.holds(id, content) {
 						known[id] = true
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -47,7 +47,7 @@
 // no sum takes no part: all of them would take all.
 func (n *Node) demandOf(service version.ID, now time.Time) float64 {
 	own := float64(n.budget(service).asked(now))
-	if own == 0 || len(n.fleet) == 0 && n.isLarge() {
+	if own == 0 || len(n.demandSums) == 0 && n.isLarge() {
 		return 0
 	}
 	return own / max(own, n.wholeDemand(service, now))
@@ -59,7 +59,7 @@
 	for _, by := range n.demands {
 		all += float64(by[service])
 	}
-	for _, d := range n.fleet {
+	for _, d := range n.demandSums {
 		all = max(all, float64(d.by[service]))
 	}
 	return all
@@ -100,7 +100,7 @@
 }
 
 func (n *Node) heardFleet(from wire.NodeID, told []wire.ServiceDemand, now time.Time) {
-	n.fleet[from] = fleetDemand{byService(told), now}
+	n.demandSums[from] = fleetDemand{byService(told), now}
 }
 
 func byService(told []wire.ServiceDemand) map[version.ID]uint32 {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -41,14 +41,14 @@
 	a, b := f.order[0], f.order[1]
 	f.arrive(a, 1, engines, "a", 9000, parts...)
 	first := f.placed(a, 1)
-	assert.Equal(t, 9000, first.Work)
+	assert.Equal(t, 9000, first.ReadTokens)
 	f.nodes[a].Step(First{ID: 1, After: 300 * time.Millisecond}, f.now)
 	f.run(300 * time.Millisecond)
 	f.nodes[a].Step(End{ID: 1, Event: wire.NoteDone}, f.now)
 	f.arrive(b, 1, engines, "b", 8000, parts...)
 	second := f.placed(b, 1)
 	assert.Equal(t, first.Instance.ID, second.Instance.ID)
-	assert.Equal(t, 8000-6200, second.Work)
+	assert.Equal(t, 8000-6200, second.ReadTokens)
 }
 
 func TestKeptPartsAreFetchedWhenTheirEngineIsBusy(t *testing.T) {
@@ -63,7 +63,7 @@
 		f.arrive(a, no, engines, "a", 7500, parts...)
 		if p := f.placed(a, no); p.Instance.ID != home.Instance.ID {
 			assert.Equal(t, home.Instance.Address, p.Source)
-			assert.Equal(t, 1500, p.Work)
+			assert.Equal(t, 1500, p.ReadTokens)
 			return
 		}
 	}
@@ -77,10 +77,10 @@
 	f.cut[dead] = true
 	f.arrive(id, 1, engines, "a", 3000)
 	assert.Nil(t, f.got[id][1])
-	f.run(askGiveUp + 2*TickEvery)
+	f.run(minPlacementTimeout + 2*TickInterval)
 	f.placed(id, 1)
 	f.arrive(id, 2, engines, "a", 3000)
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	f.placed(id, 2) // at once: the silent one is passed over
 	f.cut[dead] = false
 	f.run(5 * time.Second)
@@ -92,12 +92,12 @@
 	s, id := f.scheduler(), f.other()
 	ask := wire.WorkAsk{No: 1, Try: 1, Service: serviceID(engines), Org: 3, Input: 1000, AimMS: 600, LeftMS: 6000}
 	for range 3 {
-		f.nodes[s].answer(id, &ask, f.now)
+		f.nodes[s].reply(id, &ask, f.now)
 	}
 	p := f.nodes[s].pools[serviceID(engines)]
 	assert.Len(t, p.runs, 1)
 	total := 0
-	for _, u := range p.ups {
+	for _, u := range p.upstreams {
 		total += u.queue.Len()
 	}
 	assert.Equal(t, 1, total)
@@ -158,16 +158,16 @@
 func TestPromptsThatWereReadAreNoBacklog(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	s, id := f.scheduler(), f.other()
-	f.run(beatEvery - 3*TickEvery) // the requests run when regular messages are sent
+	f.run(heartbeatInterval - 3*TickInterval) // the requests run when regular messages are sent
 	for no := uint64(1); no <= 5; no++ {
 		f.arrive(id, no, engines, "a", 2000)
 		f.placed(id, no)
 	}
-	f.run(beatEvery)
+	f.run(heartbeatInterval)
 	for no := uint64(1); no <= 5; no++ {
 		f.nodes[id].Step(First{ID: no, After: 90 * time.Millisecond}, f.now)
 	}
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	p := f.nodes[s].pools[serviceID(engines)]
 	assert.Zero(t, p.order[0].backlog(p.learner.Model(), f.now))
 	assert.Equal(t, 5, p.order[0].running())
@@ -184,7 +184,7 @@
 	n := New(Settings{ID: s, Inc: 2, Place: "p", Seeds: []wire.NodeID{id}, Retry: DefaultRetryRules}, f.now)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(1), Revision: 5, AsOf: 9}, f.now)
 	f.nodes[s] = n
-	f.run(3 * beatEvery)
+	f.run(3 * heartbeatInterval)
 	assert.Equal(t, 5, n.pools[serviceID(engines)].order[0].running())
 	assert.Positive(t, n.pools[serviceID(engines)].order[0].backlog(prefill.Prior, f.now))
 }
@@ -219,7 +219,7 @@
 	f.nodes[a].Step(Catalogue{Table: table(t, 1), Instances: instances(2), Revision: 20, AsOf: 20}, f.now)
 	fetched := false
 	for range 100 {
-		f.now = f.now.Add(TickEvery)
+		f.now = f.now.Add(TickInterval)
 		for _, id := range f.order {
 			f.nodes[id].Tick(f.now)
 			for _, o := range f.nodes[id].Ready(f.now) {
@@ -227,7 +227,7 @@
 				case Send:
 					o.Datagram.From = id
 					f.nodes[o.To].Step(Receive{Datagram: o.Datagram}, f.now)
-				case Fetch:
+				case FetchContent:
 					assert.Equal(t, a, o.From)
 					fetched = id == b
 				}
@@ -244,7 +244,7 @@
 	shared := wire.PromptPart{Part: 1, Tokens: 6000}
 	for i := range 20 {
 		own := wire.PromptPart{Part: uint64(100 + i), Tokens: 2000}
-		u.placeRun(&run{key: runKey{"a", uint64(i)}, tokens: 2050, output: 50, parts: []wire.PromptPart{shared, own}}, start)
+		u.placeRun(&run{key: runKey{"a", uint64(i)}, tokens: 2050, outputTokens: 50, parts: []wire.PromptPart{shared, own}}, start)
 	}
 	assert.Equal(t, 20*2050, u.memory())
 	assert.Equal(t, 46_000, u.cache.used)
@@ -259,16 +259,16 @@
 	id := f.order[0]
 	for _, service := range []string{counter, engines} {
 		for _, u := range f.nodes[id].pools[serviceID(service)].order {
-			u.rest.failed(f.now)
-			u.rest.failed(f.now)
-			require.True(t, u.rest.resting(f.now))
+			u.ejection.failed(f.now)
+			u.ejection.failed(f.now)
+			require.True(t, u.ejection.resting(f.now))
 		}
 	}
 	f.arrive(id, 1, counter, "a", 0)
 	f.placed(id, 1)
 	f.arrive(id, 2, engines, "a", 100)
 	f.placed(id, 2)
-	f.nodes[id].pools[serviceID(counter)].order[1].rest = rest{}
+	f.nodes[id].pools[serviceID(counter)].order[1].ejection = rest{}
 	f.arrive(id, 3, counter, "a", 0)
 	assert.Equal(t, f.nodes[id].pools[serviceID(counter)].order[1].inst.ID, f.placed(id, 3).Instance.ID, "those that do not rest go first")
 }
@@ -276,7 +276,7 @@
 // In a large fleet routers hear of each other's use of a plain service too late to
 // choose alone.
 func TestLargeFleetPlacesPlainWorkAtOneRouter(t *testing.T) {
-	f := newFleet(t, meshUpTo+4, 2)
+	f := newFleet(t, meshMaxRouters+4, 2)
 	by := map[wire.NodeID]bool{}
 	load := map[string]int{}
 	for i, id := range f.order {
@@ -317,7 +317,7 @@
 			f.nodes[id].Step(End{ID: open[0], Event: wire.NoteDone}, f.now)
 			open = open[1:]
 		}
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
 	assert.Greater(t, float64(got["c1"]), 1.4*float64(got["c0"]), "%v", got)
 }
--- a/internal/dispatch/evacuation.go
+++ b/internal/dispatch/evacuation.go
@@ -15,11 +15,11 @@
 
 // evacuate takes the places that are evacuated. Upstreams of those that were so until now
 // may be cold, whatever their entries say: these are written later.
-func (p *pool) evacuate(places map[string]bool, now time.Time) {
-	if len(places) == 0 && !p.evacuations {
+func (p *pool) setEvacuated(places map[string]bool, now time.Time) {
+	if len(places) == 0 && !p.hasEvacuations {
 		return
 	}
-	p.evacuations = len(places) > 0
+	p.hasEvacuations = len(places) > 0
 	for _, u := range p.order {
 		was := u.evacuated
 		u.evacuated = places[u.inst.Place]
@@ -46,7 +46,7 @@
 			open++
 		}
 	}
-	p.openUps = open
+	p.openUpstreams = open
 	if all > 0 {
 		tokensPerSecond *= float64(open) / float64(all)
 	}
@@ -60,7 +60,7 @@
 // open counts the upstreams that take work at their usual rate.
 func (p *pool) open(now time.Time) int {
 	if p.cold.PerSecond <= 0 {
-		return p.openUps
+		return p.openUpstreams
 	}
 	open := 0
 	for _, u := range p.order {
@@ -71,8 +71,8 @@
 	return open
 }
 
-// isEvacuated reports whether evacuations leave no upstream that takes work.
-func (p *pool) isEvacuated() bool {
+// fullyEvacuated reports whether evacuations leave no upstream that takes work.
+func (p *pool) fullyEvacuated() bool {
 	evacuated := false
 	for _, u := range p.order {
 		if !u.closed() {
@@ -83,9 +83,9 @@
 	return evacuated
 }
 
-// noteEvacuations tells of places that are newly evacuated, or taken back, and of those
+// logEvacuations tells of places that are newly evacuated, or taken back, and of those
 // evacuated where nothing lies.
-func (n *Node) noteEvacuations(before, after []routing.Evacuation) {
+func (n *Node) logEvacuations(before, after []routing.Evacuation) {
 	was := routing.EvacuatedPlaces(before)
 	for _, e := range after {
 		if !was[e.Place] {
@@ -94,7 +94,7 @@
 		delete(was, e.Place)
 	}
 	for place := range was {
-		n.event(Event{Name: "place-returned", Value: n.cat.Revision, Detail: place})
+		n.event(Event{Name: "place-returned", Value: n.catalogue.Revision, Detail: place})
 	}
 }
 
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -16,7 +16,7 @@
 // publish gives a router the store's content with places that are evacuated.
 func (f *fleet) publish(id wire.NodeID, list []routing.Instance, places ...string) {
 	n := f.nodes[id]
-	c := Catalogue{Table: n.cat.Table, Instances: list, Revision: n.cat.Revision + 1, AsOf: n.cat.AsOf + 1}
+	c := Catalogue{Table: n.catalogue.Table, Instances: list, Revision: n.catalogue.Revision + 1, AsOf: n.catalogue.AsOf + 1}
 	for _, p := range places {
 		c.Evacuated = append(c.Evacuated, routing.Evacuation{Place: p, Revision: c.Revision})
 	}
@@ -48,7 +48,7 @@
 		assert.Equal(t, "q", f.placed(id, uint64(i+1)).Instance.Place)
 	}
 	for _, id := range f.order {
-		for _, i := range f.nodes[id].Scheduled(f.now) {
+		for _, i := range f.nodes[id].ScheduledEngines(f.now) {
 			assert.Equal(t, "q", i.Place, "nor is it asked what it keeps")
 		}
 	}
@@ -85,7 +85,7 @@
 	f.arrive(id, 1, engines, "a", 500)
 	require.Equal(t, "p", f.placed(id, 1).Instance.Place)
 	f.publishAll(list, "p")
-	f.nodes[id].Step(NewSettings{Retry: RetryRules{Window: time.Second}}, f.now)
+	f.nodes[id].Step(UpdateSettings{Retry: RetryRules{Window: time.Second}}, f.now)
 	f.nodes[id].Step(Again{ID: 1, Event: wire.NoteUnused}, f.now)
 	f.deliver()
 	assert.Equal(t, "q", f.placed(id, 1).Instance.Place)
@@ -148,7 +148,7 @@
 	f.see(3 * time.Second)
 	f.lose = func() bool { return rnd.Float64() < loss }
 	began := f.now
-	from, to := f.nodes[f.order[0]].cat.AsOf, f.nodes[f.order[0]].cat.AsOf+1
+	from, to := f.nodes[f.order[0]].catalogue.AsOf, f.nodes[f.order[0]].catalogue.AsOf+1
 	delta := &wire.StoreDelta{From: from, To: to, Places: []wire.PlaceEntry{{Place: "p", Evacuated: true, Revision: to}}}
 	due := map[wire.NodeID]time.Time{}
 	for _, id := range f.watching() {
@@ -161,7 +161,7 @@
 		}
 		heard[id] = f.now.Sub(began)
 		n := f.nodes[id]
-		n.Step(Catalogue{Table: n.cat.Table, Instances: wholeCatalogue(n).Instances, Evacuated: []routing.Evacuation{{Place: "p", Revision: to}}, Revision: to, AsOf: to}, f.now)
+		n.Step(Catalogue{Table: n.catalogue.Table, Instances: wholeCatalogue(n).Instances, Evacuated: []routing.Evacuation{{Place: "p", Revision: to}}, Revision: to, AsOf: to}, f.now)
 	}
 	f.onApply = func(id wire.NodeID, _ *wire.StoreDelta) { take(id) }
 	f.onFetch = func(id, from wire.NodeID) {
@@ -174,10 +174,10 @@
 			if !f.now.Before(at) {
 				delete(due, id)
 				take(id)
-				f.nodes[id].Step(Sighted{Delta: delta}, f.now)
+				f.nodes[id].Step(StoreRead{Delta: delta}, f.now)
 			}
 		}
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
 	var out []time.Duration
 	for _, id := range f.order {
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -60,7 +60,7 @@
 
 // wholeCatalogue is what a node knows of the store's content.
 func wholeCatalogue(n *Node) Catalogue {
-	c := n.cat
+	c := n.catalogue
 	for _, p := range n.pools {
 		for _, u := range p.order {
 			c.Instances = append(c.Instances, u.inst)
@@ -109,16 +109,16 @@
 				case FetchSnapshot:
 					moved = true
 					f.handOver(id, o.From)
-				case Apply:
+				case ApplyDelta:
 					if f.onApply != nil {
 						f.onApply(id, o.Delta)
 					}
-				case Fetch:
+				case FetchContent:
 					if f.onFetch != nil {
 						f.onFetch(id, o.From)
 					}
-					f.nodes[id].Step(FetchEnded{}, f.now)
-				case Place:
+					f.nodes[id].Step(FetchContentEnded{}, f.now)
+				case Placement:
 					f.got[id][o.ID] = o
 				case Refuse:
 					f.got[id][o.ID] = o
@@ -139,12 +139,12 @@
 	require.NoError(f.t, err)
 	s, err := wire.DecodeSnapshot(raw)
 	require.NoError(f.t, err)
-	f.nodes[to].Step(Inherit{From: from, Snapshot: s}, f.now)
+	f.nodes[to].Step(SnapshotFetched{From: from, Snapshot: s}, f.now)
 }
 
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.now = f.now.Add(TickEvery)
+		f.now = f.now.Add(TickInterval)
 		for _, id := range f.order {
 			f.nodes[id].Tick(f.now)
 		}
@@ -154,13 +154,13 @@
 
 func (f *fleet) arrive(id wire.NodeID, no uint64, service, org string, input int, parts ...wire.PromptPart) {
 	f.nodes[id].Step(Arrive{Request: Request{ID: no, Service: service, Org: org, Input: input, Output: 50, Parts: parts,
-		Aim: f.now.Add(600 * time.Millisecond), Deadline: f.now.Add(6 * time.Second)}}, f.now)
+		TargetTime: f.now.Add(600 * time.Millisecond), Deadline: f.now.Add(6 * time.Second)}}, f.now)
 	f.deliver()
 }
 
-func (f *fleet) placed(id wire.NodeID, no uint64) Place {
+func (f *fleet) placed(id wire.NodeID, no uint64) Placement {
 	f.t.Helper()
-	p, ok := f.got[id][no].(Place)
+	p, ok := f.got[id][no].(Placement)
 	require.True(f.t, ok, "%s %d: %#v", id, no, f.got[id][no])
 	return p
 }
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -32,7 +32,7 @@
 // arrive decides, or asks the service's scheduler to.
 func (n *Node) arrive(r Request, now time.Time) {
 	f := &flight{req: r, pool: serviceID(r.Service)}
-	n.flights[r.ID] = f
+	n.inflight[r.ID] = f
 	n.budget(f.pool).request(now)
 	if p := n.pools[f.pool]; p != nil {
 		p.here.ask(version.IDOf(r.Org), f.cost(), now)
@@ -45,23 +45,23 @@
 	f.try++
 	f.placed = 0
 	if p == nil {
-		n.refuse(f, verdict{why: ReasonNoUpstream, after: maxComeBack}, n.set.ID)
+		n.refuse(f, verdict{why: ReasonNoUpstream, after: maxComeBack}, n.settings.ID)
 		return
 	}
 	if f.req.Regions != nil && len(f.req.Regions) == 0 {
-		n.refuse(f, verdict{why: ReasonRegions, after: maxComeBack}, n.set.ID)
+		n.refuse(f, verdict{why: ReasonRegions, after: maxComeBack}, n.settings.ID)
 		return
 	}
-	to := n.set.ID
+	to := n.settings.ID
 	if n.asksScheduler(p, now) {
 		to = n.schedulerOf(p.id, now)
 	}
-	if to == n.set.ID {
+	if to == n.settings.ID {
 		n.decideHere(f, p, now)
 		return
 	}
 	f.by, f.asked = to, now
-	n.Counts.Asked++
+	n.Counts.PlacementRequests++
 	n.ask(f, now)
 }
 
@@ -70,7 +70,7 @@
 // every 200 ms. In a larger one that is too old for upstreams of a few slots; and what cold
 // ones get is summed over all routers.
 func (n *Node) asksScheduler(p *pool, now time.Time) bool {
-	return (p.engine != nil || n.isLarge() || p.hasCold(now)) && !n.set.Without.Scheduler
+	return (p.engine != nil || n.isLarge() || p.hasCold(now)) && !n.settings.Without.Scheduler
 }
 
 func (n *Node) ask(f *flight, now time.Time) {
@@ -91,7 +91,7 @@
 		Place:    n.place,
 		Input:    uint32(r.Input),
 		Output:   uint32(r.Output),
-		AimMS:    leftMS(r.Aim, now),
+		AimMS:    leftMS(r.TargetTime, now),
 		LeftMS:   leftMS(r.Deadline, now),
 		Priority: uint8(min(max(r.Priority, 0), 255)),
 		Parts:    r.Parts,
@@ -114,32 +114,32 @@
 func (n *Node) decideHere(f *flight, p *pool, now time.Time) {
 	a := n.askOf(f, now)
 	a.Backoffs = p.backoffs.list(now)
-	p.alone = !n.KnowsFleet(now) || n.schedulerOf(p.id, now) != n.set.ID
-	n.judgeCold(p, now)
-	v := p.decide(n.set.ID, &a, now)
-	p.alone = false
+	p.withoutScheduler = !n.KnowsFleet(now) || n.schedulerOf(p.id, now) != n.settings.ID
+	n.prepareColdDecision(p, now)
+	v := p.decide(n.settings.ID, &a, now)
+	p.withoutScheduler = false
 	f.told = n.countUnasked(p, &a, v.choice != nil, now)
 	if v.choice == nil {
-		n.refuse(f, v, n.set.ID)
+		n.refuse(f, v, n.settings.ID)
 		return
 	}
-	n.assign(f, v.choice.up, v.choice.source, n.set.ID, p.expectation(v.choice, now), now)
+	n.assign(f, v.choice.up, v.choice.source, n.settings.ID, p.expectation(v.choice, now), now)
 }
 
 func (n *Node) assign(f *flight, u, source *upstream, by wire.NodeID, e expectation, now time.Time) {
 	f.placed, f.by, f.work, f.first, f.orphan = u.id, by, e.work, false, false
 	n.Counts.Placed++
 	n.bookHere(f, f.cost(), now)
-	o := Place{ID: f.req.ID, Instance: u.inst, By: by, WaitMS: e.waitMS, Work: e.work, OwnMS: e.ownMS, Revision: n.cat.Revision}
+	o := Placement{ID: f.req.ID, Instance: u.inst, By: by, WaitMS: e.waitMS, ReadTokens: e.work, PrefillMS: e.ownMS, Revision: n.catalogue.Revision}
 	if source != nil {
 		o.Source = source.inst.Address
 	}
 	if e.cold {
-		o.Cold, o.SendBy = true, now.Add(coldSendIn)
+		o.Cold, o.SendBy = true, now.Add(coldSendTimeout)
 		n.Counts.PlacedCold++
 	}
 	if p := n.pools[f.pool]; p != nil {
-		o.Look = p.cold.PerSecond > 0 && !o.Cold && (e.look || n.mayBeCut(by, p.id, now))
+		o.CheckHealth = p.cold.PerSecond > 0 && !o.Cold && (e.look || n.mayBePartitioned(by, p.id, now))
 	}
 	n.out = append(n.out, o)
 }
@@ -153,16 +153,16 @@
 }
 
 func (n *Node) refuse(f *flight, v verdict, by wire.NodeID) {
-	delete(n.flights, f.req.ID)
+	delete(n.inflight, f.req.ID)
 	n.Counts.Refused++
-	n.out = append(n.out, Refuse{ID: f.req.ID, Reason: v.why, After: v.after, By: by, WaitMS: int(v.wait), LimitMS: int(v.limit), OwnMS: int(v.ownMS), Over: v.over, Revision: n.cat.Revision})
+	n.out = append(n.out, Refuse{ID: f.req.ID, Reason: v.why, After: v.after, By: by, WaitMS: int(v.wait), LimitMS: int(v.limit), PrefillMS: int(v.ownMS), Over: v.over, Revision: n.catalogue.Revision})
 }
 
 // waiting returns the requests without a place, in the order in which they came, so
 // that the same inputs give the same decisions.
 func (n *Node) waiting() []*flight {
 	var out []*flight
-	for _, f := range n.flights {
+	for _, f := range n.inflight {
 		if f.placed == 0 {
 			out = append(out, f)
 		}
@@ -180,8 +180,8 @@
 			n.silentScheduler(f, now)
 		case n.lateness.told:
 			// The answer may wait unread here.
-		case now.Sub(f.sent) >= n.trip.again():
-			n.Counts.AskedAgain++
+		case now.Sub(f.sent) >= n.replyRTT.again():
+			n.Counts.PlacementRetries++
 			n.ask(f, now)
 		}
 	}
@@ -190,21 +190,21 @@
 // silentScheduler decides here instead of a scheduler that has not answered. A
 // router that was heard since the ask is slow, not gone, and stays scheduler.
 func (n *Node) silentScheduler(f *flight, now time.Time) {
-	n.Counts.OwnDecision++
-	n.gaveUp[f.req.ID] = givenUp{f.try, f.asked}
+	n.Counts.LocalDecisions++
+	n.timedOutRequests[f.req.ID] = givenUp{f.try, f.asked}
 	if m := n.members.Get(f.by); n.mayBlame(now) && (m == nil || m.Heard.Before(f.asked)) {
 		n.blame(f.by, now)
 	}
 	p := n.pools[f.pool]
 	if p == nil {
-		n.refuse(f, verdict{why: ReasonNoUpstream, after: maxComeBack}, n.set.ID)
+		n.refuse(f, verdict{why: ReasonNoUpstream, after: maxComeBack}, n.settings.ID)
 		return
 	}
 	f.try++ // an answer that still comes is to an ask that is over
 	org := version.IDOf(f.req.Org)
 	if over := n.aloneOver(p, org, now); over >= 1 && len(f.avoid) == 0 && p.engine != nil {
 		n.reports.countAlone(orgAt{p.id, org}, 0, false)
-		n.refuse(f, verdict{why: ReasonCapacity, after: minComeBack, over: hundredths(over)}, n.set.ID)
+		n.refuse(f, verdict{why: ReasonCapacity, after: minComeBack, over: hundredths(over)}, n.settings.ID)
 		return
 	}
 	n.decideHere(f, p, now)
@@ -215,7 +215,7 @@
 // cut off, or does not get to read. Load pattern: a flood at a small router; it took nine
 // schedulers for silent in 0.6 s, and made itself one that knew of nothing.
 func (n *Node) mayBlame(now time.Time) bool {
-	return !n.lateness.told && (n.heardAt.After(n.blamedAt) || now.Sub(n.blamedAt) >= silentFor)
+	return !n.lateness.told && (n.lastReceivedAt.After(n.lastSilenceAt) || now.Sub(n.lastSilenceAt) >= silentRouterExclusion)
 }
 
 // blame passes a silent scheduler over for a while.
@@ -223,22 +223,22 @@
 	if until := n.silent[id]; now.After(until) {
 		n.event(Event{Name: "scheduler-silent", Router: id, Detail: "decided here"})
 	}
-	n.blamedAt = now
-	n.silent[id] = now.Add(silentFor)
-	clear(n.ranks)
+	n.lastSilenceAt = now
+	n.silent[id] = now.Add(silentRouterExclusion)
+	clear(n.rankings)
 	n.members.Suspect(id, now)
 }
 
 // again looks for another upstream for a request.
 func (n *Node) again(in Again, now time.Time) {
-	f := n.flights[in.ID]
+	f := n.inflight[in.ID]
 	if f == nil || f.placed == 0 {
 		return
 	}
 	f.avoid = append(f.avoid, f.placed)
 	n.tell(f, wire.WorkNote{No: f.req.ID, Event: in.Event}, now)
 	if in.Event != wire.NoteUnused && !n.budget(f.pool).take(n.fleetSize(), n.demandOf(f.pool, now), now) {
-		n.refuse(f, verdict{why: ReasonBudget, after: budgetComeBack}, n.set.ID)
+		n.refuse(f, verdict{why: ReasonBudget, after: budgetComeBack}, n.settings.ID)
 		return
 	}
 	n.route(f, now)
@@ -248,7 +248,7 @@
 func (n *Node) budget(service version.ID) *retryBudget {
 	b := n.budgets[service]
 	if b == nil {
-		b = newRetryBudget(n.set.Retry)
+		b = newRetryBudget(n.settings.Retry)
 		n.budgets[service] = b
 	}
 	return b
@@ -259,23 +259,23 @@
 func (n *Node) fleetSize() int { return n.members.Known() }
 
 func (n *Node) first(in First, now time.Time) {
-	f := n.flights[in.ID]
+	f := n.inflight[in.ID]
 	if f == nil || f.placed == 0 {
 		return
 	}
 	f.first = true
 	n.tell(f, wire.WorkNote{No: f.req.ID, Event: wire.NoteFirst, FirstMS: uint32(in.After.Milliseconds())}, now)
-	if f.by == n.set.ID {
+	if f.by == n.settings.ID {
 		n.toldRead(f.placed, f.req.Parts)
 	}
 }
 
 func (n *Node) end(in End, now time.Time) {
-	f := n.flights[in.ID]
+	f := n.inflight[in.ID]
 	if f == nil {
 		return
 	}
-	delete(n.flights, in.ID)
+	delete(n.inflight, in.ID)
 	if f.placed != 0 {
 		n.tell(f, wire.WorkNote{No: f.req.ID, Event: in.Event}, now)
 	}
@@ -285,10 +285,10 @@
 // tells the scheduler when the placement was not its own.
 func (n *Node) takeBackHere(f *flight, now time.Time) {
 	n.bookHere(f, -f.cost(), now)
-	if f.by != n.set.ID || !f.told {
+	if f.by != n.settings.ID || !f.told {
 		return
 	}
-	n.unasked.add(orgAt{f.pool, version.IDOf(f.req.Org)}, 0, -f.cost())
+	n.unreportedUsage.add(orgAt{f.pool, version.IDOf(f.req.Org)}, 0, -f.cost())
 }
 
 // tell brings news of a run to the router that placed it.
@@ -296,15 +296,15 @@
 	if !f.first && (note.Event == wire.NoteUnused || wire.IsFailure(note.Event)) {
 		n.takeBackHere(f, now)
 	}
-	n.sawRefusal(f, note.Event, now)
-	if f.by == n.set.ID {
+	n.noteConnRefused(f, note.Event, now)
+	if f.by == n.settings.ID {
 		if p := n.pools[f.pool]; p != nil {
-			p.note(n.set.ID, note, now)
+			p.note(n.settings.ID, note, now)
 		}
 		return
 	}
 	if len(n.notes) == 0 {
-		n.noteDue = now.Add(noteDelay)
+		n.notesDue = now.Add(noteDelay)
 	}
 	n.notes[f.by] = append(n.notes[f.by], note)
 }
@@ -324,9 +324,9 @@
 // toldRead keeps what an upstream has read for the next regular message.
 func (n *Node) toldRead(up version.ID, parts []wire.PromptPart) {
 	for _, part := range parts {
-		if len(n.read) >= maxTold {
+		if len(n.readParts) >= maxReportedParts {
 			return
 		}
-		n.read = append(n.read, wire.HeldPart{Upstream: up, Part: part.Part, Tokens: part.Tokens})
+		n.readParts = append(n.readParts, wire.HeldPart{Upstream: up, Part: part.Part, Tokens: part.Tokens})
 	}
 }
--- a/internal/dispatch/beat_test.go
+++ b/internal/dispatch/heartbeat_test.go
@@ -29,12 +29,12 @@
 		f := newFleet(t, routers, 2)
 		f.see(4 * time.Second)
 		n := f.nodes[f.order[0]]
-		tellers := n.tellers(n.heirs(f.now), f.now)
-		assert.LessOrEqual(t, len(tellers), 3*heirCount)
+		tellers := n.announcers(n.groupMembers(f.now), f.now)
+		assert.LessOrEqual(t, len(tellers), 3*schedulerGroupSize)
 		for id, rate := range f.countSends(5 * time.Second) {
 			most := 14.0 // ten to heirs, a probe and answers to probes
 			if contains(tellers, id) {
-				most += float64(time.Second / beatPerRouter)
+				most += float64(time.Second / heartbeatIntervalPerRouter)
 			}
 			assert.LessOrEqual(t, rate, most, "%d routers, %s", routers, id)
 		}
@@ -56,13 +56,13 @@
 	f.see(6 * time.Second)
 	for range 80 {
 		for _, id := range f.order {
-			if n := f.nodes[id]; n.IsWatcher(f.now) && f.now.Sub(n.store.at) >= sightEvery {
-				n.Step(Sighted{}, f.now)
+			if n := f.nodes[id]; n.IsWatcher(f.now) && f.now.Sub(n.store.at) >= storeReadInterval {
+				n.Step(StoreRead{}, f.now)
 			}
 		}
 		f.run(50 * time.Millisecond)
 		for _, id := range f.order {
-			require.Less(t, f.now.Sub(f.nodes[id].store.at), sightLimit(60)*4/5, id)
+			require.Less(t, f.now.Sub(f.nodes[id].store.at), maxReadingAge(60)*4/5, id)
 		}
 	}
 }
@@ -72,12 +72,12 @@
 	f := newFleet(t, 60, 2)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
 	f.arrive(ranked[len(ranked)-1], 1, engines, "a", 2000)
-	f.run(heirEvery + 500*time.Millisecond)
+	f.run(groupHeartbeatInterval + 500*time.Millisecond)
 	assert.Equal(t, 1, f.runningAt(ranked[1]))
 }
 
 func (f *fleet) runningAt(id wire.NodeID) (running int) {
-	for _, u := range f.nodes[id].pools[serviceID(engines)].ups {
+	for _, u := range f.nodes[id].pools[serviceID(engines)].upstreams {
 		running += u.running()
 	}
 	return running
@@ -98,16 +98,16 @@
 	f.cut[first] = false
 	f.restart(first)
 	for f.nodes[last].schedulerOf(serviceID(engines), f.now) != first {
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
-	f.run(fetchSpread + 2*TickEvery)
+	f.run(fetchJitter + 2*TickInterval)
 	assert.Equal(t, 6, f.runningAt(first))
 }
 
 // restart replaces a router by a process that knows only its seeds.
 func (f *fleet) restart(id wire.NodeID) {
 	old := f.nodes[id]
-	set := old.set
+	set := old.settings
 	set.Inc++
 	n := New(set, f.now)
 	n.Step(wholeCatalogue(old), f.now)
@@ -154,9 +154,9 @@
 	assert.True(t, at(seeds[0]).Watches(start))
 	n := at("10.1.0.9:1")
 	assert.False(t, n.Watches(start))
-	assert.True(t, n.Watches(start.Add(firstLookLeast+firstLookSpread)), "nobody is heard")
+	assert.True(t, n.Watches(start.Add(minFirstReadDelay+firstReadJitter)), "nobody is heard")
 	n.Step(Receive{Datagram: &wire.Datagram{From: seeds[0], Inc: 1, Work: &wire.Work{Sight: &wire.StoreSight{By: seeds[0], Inc: 1, No: 1}}}}, start)
-	assert.False(t, n.Watches(start.Add(settleFor-time.Millisecond)))
+	assert.False(t, n.Watches(start.Add(watchSettleDelay-time.Millisecond)))
 	assert.True(t, n.Watches(start.Add(10*time.Second)), "the seeds read it no more")
 }
 
@@ -167,12 +167,12 @@
 	early := 0
 	for seed := range uint64(585) {
 		n := New(Settings{ID: "10.1.0.9:1", Inc: 1, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Seed: seed}, start)
-		if n.Watches(start.Add(againLookMost / 2)) {
+		if n.Watches(start.Add(maxRestartReadDelay / 2)) {
 			early++
 		}
-		require.True(t, n.Watches(start.Add(againLookMost)))
-		n.Step(Sighted{}, start)
-		require.False(t, n.Watches(start.Add(settleFor-time.Millisecond)))
+		require.True(t, n.Watches(start.Add(maxRestartReadDelay)))
+		n.Step(StoreRead{}, start)
+		require.False(t, n.Watches(start.Add(watchSettleDelay-time.Millisecond)))
 	}
 	assert.Greater(t, early, 10)
 	assert.Less(t, early, 70)
@@ -193,7 +193,7 @@
 	const routers = 60
 	f := newPlacedFleet(t, routers, 5)
 	for i, id := range f.order {
-		set := f.nodes[id].set
+		set := f.nodes[id].settings
 		set.Inc, set.Seed = 2, uint64(1000+i)
 		f.nodes[id] = New(set, f.now)
 	}
@@ -201,26 +201,26 @@
 		f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: instances(4), Revision: 5, AsOf: 9}, f.now)
 	}
 	f.onFetch = func(id, from wire.NodeID) {
-		if f.nodes[from].cat.Table != nil {
+		if f.nodes[from].catalogue.Table != nil {
 			take(id)
 		}
 	}
 	began := map[wire.NodeID]time.Time{}
-	for range 60 + int(listing/TickEvery) {
-		f.run(TickEvery)
+	for range 60 + int(listing/TickInterval) {
+		f.run(TickInterval)
 		for _, id := range f.order {
 			at, lists := began[id]
 			switch {
-			case !lists && f.nodes[id].cat.Table == nil && f.nodes[id].Watches(f.now):
+			case !lists && f.nodes[id].catalogue.Table == nil && f.nodes[id].Watches(f.now):
 				began[id] = f.now
-			case lists && f.nodes[id].cat.Table == nil && f.now.Sub(at) >= listing:
+			case lists && f.nodes[id].catalogue.Table == nil && f.now.Sub(at) >= listing:
 				take(id)
-				f.nodes[id].Step(Sighted{Whole: true}, f.now)
+				f.nodes[id].Step(StoreRead{FullListing: true}, f.now)
 			}
 		}
 	}
 	for _, id := range f.order {
-		require.NotNil(t, f.nodes[id].cat.Table, id)
+		require.NotNil(t, f.nodes[id].catalogue.Table, id)
 	}
 	t.Logf("%s: %d listings", listing, len(began))
 	assert.Less(t, len(began), routers/3)
--- a/internal/dispatch/io.go
+++ b/internal/dispatch/io.go
@@ -35,16 +35,16 @@
 
 // Request is what the decision needs to know of a caller's request. No content.
 type Request struct {
-	ID       uint64
-	Service  string
-	Org      string
-	Input    int // tokens of the prompt
-	Output   int // tokens expected
-	Parts    []wire.PromptPart
-	Priority int
-	Aim      time.Time // an answer after this is late
-	Deadline time.Time
-	Regions  routing.Regions // of the upstreams that may run it
+	ID         uint64
+	Service    string
+	Org        string
+	Input      int // tokens of the prompt
+	Output     int // tokens expected
+	Parts      []wire.PromptPart
+	Priority   int
+	TargetTime time.Time // an answer after this is late
+	Deadline   time.Time
+	Regions    routing.Regions // of the upstreams that may run it
 }
 
 // Input is one thing that happened. The types below are all there are.
@@ -86,48 +86,48 @@
 	AsOf      uint64 // every change up to this is known
 	// Part says that Instances are those that were put since the last catalogue, Ended those
 	// that ended, and that the table names the same services as the last one.
-	Part  bool
-	Ended []routing.Ended
+	Incremental bool
+	Ended       []routing.Ended
 }
 
 // Sighted says that this router has read the store itself just now, with the
 // changes it found, nil for none. Whole says that it has listed all of it, so that it does
 // not know what changed. Back says that the store had not answered it before.
-type Sighted struct {
-	Delta *wire.StoreDelta
-	Whole bool
-	Back  bool
+type StoreRead struct {
+	Delta       *wire.StoreDelta
+	FullListing bool
+	Recovered   bool
 }
 
 // Unsighted says that the store did not answer this router.
-type Unsighted struct{}
+type StoreUnreachable struct{}
 
 // Strained says whether this router is short of processor.
-type Strained struct{ On bool }
+type CPUOverload struct{ On bool }
 
 // Seen says that every change of the store up to a revision is known.
-type Seen struct{ AsOf uint64 }
+type CaughtUp struct{ AsOf uint64 }
 
 // Kept is news of the prompt parts that an engine keeps: all of them when Full,
 // else what changed.
-type Kept struct {
+type CacheUpdate struct {
 	Instance string // names its start: routing.Instance.Start
 	Full     bool
-	Parts    []KeptPart
+	Parts    []PartUpdate
 }
 
-// KeptPart is a part and its tokens kept, 0 when it has left.
-type KeptPart struct {
+// PartUpdate is a part and its tokens kept, 0 when it has left.
+type PartUpdate struct {
 	Part   uint64
 	Tokens int
 }
 
 // Turned is work that this router refused without asking for a place, for want of
 // processor. It counts as asked for when capacity is shared.
-type Turned struct{ Work []TurnedWork }
+type LoadShed struct{ Work []ShedWork }
 
-// TurnedWork is the refused work of one organisation at one service.
-type TurnedWork struct {
+// ShedWork is the refused work of one organisation at one service.
+type ShedWork struct {
 	Service string
 	Org     string
 	Tokens  float64 // as Cost counts them
@@ -137,8 +137,8 @@
 // a token generated twice (the platform's measure of what its engines produce).
 func Cost(input, output int) float64 { return float64(input) + 2*float64(output) }
 
-// SaysLeaving says that an instance has told this router itself that it leaves.
-type SaysLeaving struct{ Instance routing.Instance }
+// LeaveNotice says that an instance has told this router itself that it leaves.
+type LeaveNotice struct{ Instance routing.Instance }
 
 // RetryAfter says that an instance has asked this router to send it nothing for a time.
 type RetryAfter struct {
@@ -153,8 +153,8 @@
 	ColdFor  time.Duration
 }
 
-// NewSettings changes what may change while the process runs.
-type NewSettings struct {
+// UpdateSettings changes what may change while the process runs.
+type UpdateSettings struct {
 	Seeds []wire.NodeID
 	Retry RetryRules
 	Cold  ColdRules
@@ -163,26 +163,26 @@
 // Leave begins a planned stop.
 type Leave struct{}
 
-func (Receive) input()   {}
-func (Arrive) input()    {}
-func (Again) input()     {}
-func (First) input()     {}
-func (End) input()       {}
-func (Catalogue) input() {}
-func (Sighted) input()   {}
-func (Kept) input()      {}
-func (Seen) input()      {}
-func (Turned) input()    {}
-func (Unsighted) input() {}
-func (Strained) input()  {}
-func (Looked) input()    {}
-
-func (SaysLeaving) input() {}
+func (Receive) input()          {}
+func (Arrive) input()           {}
+func (Again) input()            {}
+func (First) input()            {}
+func (End) input()              {}
+func (Catalogue) input()        {}
+func (StoreRead) input()        {}
+func (CacheUpdate) input()      {}
+func (CaughtUp) input()         {}
+func (LoadShed) input()         {}
+func (StoreUnreachable) input() {}
+func (CPUOverload) input()      {}
+func (Looked) input()           {}
+
+func (LeaveNotice) input() {}
 func (RetryAfter) input()  {}
 
-func (FetchEnded) input() {}
+func (FetchContentEnded) input() {}
 
-func (NewSettings) input() {}
+func (UpdateSettings) input() {}
 
 func (Leave) input() {}
 
@@ -196,31 +196,31 @@
 }
 
 // Place says where a request runs.
-type Place struct {
-	ID       uint64
-	Instance routing.Instance
-	Source   string // address of an engine to fetch kept prompt parts from, or ""
-	By       wire.NodeID
-	WaitMS   int    // expected behind others
-	Work     int    // tokens expected to be read
-	OwnMS    int    // expected from the end of the wait to the first event
-	Revision uint64 // of the store's content it was decided on here
+type Placement struct {
+	ID         uint64
+	Instance   routing.Instance
+	Source     string // address of an engine to fetch kept prompt parts from, or ""
+	By         wire.NodeID
+	WaitMS     int    // expected behind others
+	ReadTokens int    // tokens expected to be read
+	PrefillMS  int    // expected from the end of the wait to the first event
+	Revision   uint64 // of the store's content it was decided on here
 	// Cold says that the upstream is cold: the request is sent there by SendBy, or not at
 	// all.
 	Cold   bool
 	SendBy time.Time
 	// Look says that the upstream may have turned cold without this router's knowledge:
 	// its health is to be asked first.
-	Look bool
+	CheckHealth bool
 }
 
 // MaySend reports whether a request may still be sent where it was placed, to an upstream
 // whose entry says that it is cold until a time.
-func (p *Place) MaySend(coldUntil, now time.Time) bool {
+func (p *Placement) MaySend(coldUntil, now time.Time) bool {
 	if p.Cold {
 		return now.Before(p.SendBy)
 	}
-	return coldUntil.Sub(now) <= coldLate
+	return coldUntil.Sub(now) <= coldEndTolerance
 }
 
 // Refuse gives a request up; nothing of it was sent by this decision.
@@ -230,38 +230,38 @@
 	After  time.Duration // when to come back
 	By     wire.NodeID
 
-	WaitMS   int    // expected behind others at the best upstream
-	LimitMS  int    // that was allowed
-	OwnMS    int    // expected from the end of the wait to the first event
-	Over     uint32 // hundredths of its share that the organisation has had
-	Revision uint64 // of the store's content it was decided on here
+	WaitMS    int    // expected behind others at the best upstream
+	LimitMS   int    // that was allowed
+	PrefillMS int    // expected from the end of the wait to the first event
+	Over      uint32 // hundredths of its share that the organisation has had
+	Revision  uint64 // of the store's content it was decided on here
 }
 
 // Fetch asks the driver to read the store's content from a peer that knows more.
-type Fetch struct {
+type FetchContent struct {
 	From     wire.NodeID
 	Revision uint64
 }
 
 // Apply hands over changes of the store's content that a peer has read.
-type Apply struct {
+type ApplyDelta struct {
 	From  wire.NodeID
 	Delta *wire.StoreDelta
 }
 
-// FetchEnded says that a read which Fetch asked for has ended, with or without content.
-type FetchEnded struct{}
+// FetchContentEnded says that a read which Fetch asked for has ended, with or without content.
+type FetchContentEnded struct{}
 
-// StoreBack says that a peer found the store back after an outage, at a time: what
+// StoreRecovered says that a peer found the store back after an outage, at a time: what
 // is missing there may have lapsed meanwhile.
-type StoreBack struct {
+type StoreRecovered struct {
 	From wire.NodeID
 	At   time.Time
 }
 
 // Gone says that an instance has left: idle connections to it can go. One that has started
 // again under its ID has ended for certain, with all that it was asked.
-type Gone struct {
+type UpstreamGone struct {
 	Instance  routing.Instance
 	Restarted bool
 }
@@ -274,15 +274,15 @@
 	Value  uint64
 }
 
-func (Send) output()   {}
-func (Place) output()  {}
-func (Refuse) output() {}
-func (Fetch) output()  {}
-func (Apply) output()  {}
+func (Send) output()         {}
+func (Placement) output()    {}
+func (Refuse) output()       {}
+func (FetchContent) output() {}
+func (ApplyDelta) output()   {}
 
-func (StoreBack) output() {}
+func (StoreRecovered) output() {}
 
-func (Gone) output()  {}
-func (Event) output() {}
+func (UpstreamGone) output() {}
+func (Event) output()        {}
 
 func serviceID(name string) version.ID { return version.IDOf(name) }
--- a/internal/dispatch/late.go
+++ b/internal/dispatch/late.go
@@ -26,26 +26,26 @@
 // tickLate keeps what this router says of itself. One that reads answers as late as others
 // give up on them is late too, whatever its processor seems to have left.
 func (n *Node) tickLate(now time.Time) {
-	if n.late || n.trip.mean >= askGiveUp {
+	if n.overloaded || n.replyRTT.mean >= minPlacementTimeout {
 		n.lateness.until = now.Add(lateLasts)
 	}
 	n.lateness.told = now.Before(n.lateness.until)
-	n.setLate(n.set.ID, n.lateness.told)
+	n.setLate(n.settings.ID, n.lateness.told)
 }
 
 // tickStated works off what routers state.
 func (n *Node) tickStated(now time.Time) {
-	elapsed := now.Sub(n.worked)
+	elapsed := now.Sub(n.loadsUpdatedAt)
 	if elapsed < workOffEvery {
 		return
 	}
-	n.worked = now
+	n.loadsUpdatedAt = now
 	for _, p := range n.pools {
 		if p.engine == nil {
 			continue
 		}
 		for _, u := range p.inUse() {
-			u.workOff(p.learner.Model(), min(elapsed, PauseLimit), now)
+			u.decayStatedLoad(p.learner.Model(), min(elapsed, PauseThreshold), now)
 		}
 	}
 }
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -15,11 +15,11 @@
 func TestLateRoutersTimesAreNotTheEngines(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.other()
-	f.nodes[id].Step(Strained{On: true}, f.now)
+	f.nodes[id].Step(CPUOverload{On: true}, f.now)
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
 	before := p.learner.Seen()
 	for no := uint64(1); no <= 4; no++ {
-		f.run(TickEvery)
+		f.run(TickInterval)
 		f.arrive(id, no, engines, "a", 4000)
 		f.placed(id, no)
 	}
@@ -36,7 +36,7 @@
 		assert.InDelta(t, 1, u.queue.Slow(p.learner.Model(), f.now), 0.01)
 		assert.Zero(t, u.queue.Len())
 	}
-	f.nodes[id].Step(Strained{On: false}, f.now)
+	f.nodes[id].Step(CPUOverload{On: false}, f.now)
 	f.run(lateLasts + time.Second)
 	assert.Empty(t, p.late)
 }
@@ -49,7 +49,7 @@
 	f.arrive(id, 1, engines, "a", 4000)
 	f.run(time.Second)
 	assert.Greater(t, p.order[0].backlog(p.learner.Model(), f.now), 300.0, "its first event is missing")
-	f.nodes[id].Step(Strained{On: true}, f.now)
+	f.nodes[id].Step(CPUOverload{On: true}, f.now)
 	f.run(300 * time.Millisecond)
 	assert.Zero(t, p.order[0].backlog(p.learner.Model(), f.now))
 	f.nodes[id].Step(End{ID: 1, Event: wire.NoteDone}, f.now)
@@ -64,26 +64,26 @@
 	n := f.nodes[f.order[0]]
 	p := n.pools[serviceID(engines)]
 	u := p.order[0]
-	u.change("10.9.9.9:1", func(n *nodeUse) { n.load = wire.WorkLoad{Running: 3, Unread: 4000} })
+	u.updateUsage("10.9.9.9:1", func(n *routerUsage) { n.load = wire.WorkLoad{Running: 3, Unread: 4000} })
 	stated := u.stated(p.learner.Model(), f.now)
 	require.Greater(t, stated, 50.0)
 	half := time.Duration(stated/2) * time.Millisecond
-	n.worked = f.now
+	n.loadsUpdatedAt = f.now
 	for range 2 {
 		f.now = f.now.Add(half)
 		n.tickStated(f.now)
 	}
 	assert.Less(t, u.stated(p.learner.Model(), f.now), 0.1*stated)
 	assert.Equal(t, 3, u.running(), "the runs go on")
-	u.workOff(p.learner.Model(), time.Second, f.now)
+	u.decayStatedLoad(p.learner.Model(), time.Second, f.now)
 	assert.Zero(t, u.total.unread)
 }
 
 // A router whose answers came after 70 ms gave up on each of them after 45: it used none.
 func TestWaitForAnAnswerFollowsHowLongAnswersTake(t *testing.T) {
 	var r roundTrip
-	assert.Equal(t, askGiveUp, r.giveUp())
-	assert.Equal(t, askAgain, r.again())
+	assert.Equal(t, minPlacementTimeout, r.giveUp())
+	assert.Equal(t, minPlacementRetryDelay, r.again())
 	for range 40 {
 		r.take(70 * time.Millisecond)
 	}
@@ -91,11 +91,11 @@
 	for range 40 {
 		r.take(2 * time.Second)
 	}
-	assert.Equal(t, askMost, r.giveUp())
+	assert.Equal(t, maxPlacementTimeout, r.giveUp())
 	for range 80 {
 		r.take(2 * time.Millisecond)
 	}
-	assert.Equal(t, askGiveUp, r.giveUp(), "and back")
+	assert.Equal(t, minPlacementTimeout, r.giveUp(), "and back")
 }
 
 // Answers to asks that were given up on tell how late answers are.
@@ -109,7 +109,7 @@
 		asked := f.now
 		delete(f.cut, f.scheduler())
 		for f.got[id][no] == nil {
-			f.now = f.now.Add(TickEvery)
+			f.now = f.now.Add(TickInterval)
 			n.Tick(f.now)
 			f.deliver()
 			if f.now.Sub(asked) == 100*time.Millisecond {
@@ -117,16 +117,16 @@
 				f.deliver()
 			}
 		}
-		if try, late := n.gaveUp[no]; late {
+		if try, late := n.timedOutRequests[no]; late {
 			f.now = asked.Add(100 * time.Millisecond)
 			n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Answers: []wire.WorkAnswer{{No: no, Try: try.try}}}}}, f.now)
 		}
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
-	assert.Greater(t, n.trip.giveUp(), askGiveUp)
-	assert.LessOrEqual(t, n.patience(&flight{asked: f.now, req: Request{Aim: f.now.Add(60 * time.Millisecond)}}), askGiveUp, "not beyond what a request's target leaves")
+	assert.Greater(t, n.replyRTT.giveUp(), minPlacementTimeout)
+	assert.LessOrEqual(t, n.patience(&flight{asked: f.now, req: Request{TargetTime: f.now.Add(60 * time.Millisecond)}}), minPlacementTimeout, "not beyond what a request's target leaves")
 	f.run(2 * givenUpFor)
-	assert.Empty(t, n.gaveUp)
+	assert.Empty(t, n.timedOutRequests)
 }
 
 // A router that did not get to read took nine schedulers for silent in 0.6 s.
@@ -137,7 +137,7 @@
 	f.cut[id] = true
 	for no := uint64(1); no <= 20; no++ {
 		f.arrive(id, no, engines, "a", 100)
-		f.run(2 * askGiveUp)
+		f.run(2 * minPlacementTimeout)
 	}
 	blamed := 0
 	for _, e := range f.evs {
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -17,45 +17,45 @@
 // from its callers' answers that one leaves, and the scheduler, which has sent it nothing
 // itself, places the next request there.
 
-// leaverToldFor is how long routers are told again: a few rounds in which everyone is told,
+// leavingNoticeTTL is how long routers are told again: a few rounds in which everyone is told,
 // in a large fleet too. Each keeps what it was told until the upstream has ended.
-const leaverToldFor = 5 * time.Second
+const leavingNoticeTTL = 5 * time.Second
 
 // leavers are the upstreams that have lately said that they leave.
-type leavers map[version.ID]leaver
+type leavingUpstreams map[version.ID]leavingUpstream
 
 // leaver is when this router came to know that an upstream leaves, and the upstream's service.
-type leaver struct {
+type leavingUpstream struct {
 	service version.ID
 	since   time.Time
 }
 
 // Leaving says that an upstream leaves, by its own word or, with From, by a peer's.
-type Leaving struct {
+type UpstreamLeaving struct {
 	Instance routing.Instance
 	From     wire.NodeID
 }
 
-func (Leaving) output() {}
+func (UpstreamLeaving) output() {}
 
-// saysLeaving takes an upstream's own word, and tells those who place at it at once.
-func (n *Node) saysLeaving(i routing.Instance, now time.Time) {
+// handleLeaveNotice takes an upstream's own word, and tells those who place at it at once.
+func (n *Node) handleLeaveNotice(i routing.Instance, now time.Time) {
 	p, u := n.upstreamOf(i)
 	if u == nil || !n.drain(p, u, "", now) {
 		return
 	}
-	for _, id := range n.placersOf(p.id, now) {
-		n.tellLeaving(id, now)
+	for _, id := range n.routersPlacingAt(p.id, now) {
+		n.attachLeaving(id, now)
 	}
 }
 
-// placersOf returns the other routers that place at a service's upstreams: all in a small
+// routersPlacingAt returns the other routers that place at a service's upstreams: all in a small
 // fleet, its heirs in a large one.
-func (n *Node) placersOf(service version.ID, now time.Time) []wire.NodeID {
+func (n *Node) routersPlacingAt(service version.ID, now time.Time) []wire.NodeID {
 	if n.isLarge() {
-		return n.others(n.heirsOf(service, now))
+		return n.otherRouters(n.schedulerGroup(service, now))
 	}
-	return n.others(n.members.Live(true))
+	return n.otherRouters(n.members.Live(true))
 }
 
 // drain takes an upstream out of use. It reports whether that is news.
@@ -63,34 +63,34 @@
 	if u.inst.Draining {
 		return false
 	}
-	n.leavers[u.id] = leaver{p.id, now}
+	n.leavingUpstreams[u.id] = leavingUpstream{p.id, now}
 	u.inst.Draining = true
-	p.setCapacity(n.cat.Table.Limits.TokensPerSecond)
-	n.out = append(n.out, Leaving{Instance: u.inst, From: from})
+	p.setCapacity(n.catalogue.Table.Limits.TokensPerSecond)
+	n.out = append(n.out, UpstreamLeaving{Instance: u.inst, From: from})
 	return true
 }
 
-// heardLeaving takes a peer's word on upstreams that leave.
-func (n *Node) heardLeaving(from wire.NodeID, list []version.ID, now time.Time) {
+// handlePeerLeaving takes a peer's word on upstreams that leave.
+func (n *Node) handlePeerLeaving(from wire.NodeID, list []version.ID, now time.Time) {
 	for _, id := range list {
 		for _, p := range n.pools {
-			if u := p.ups[id]; u != nil {
+			if u := p.upstreams[id]; u != nil {
 				n.drain(p, u, from, now)
 			}
 		}
 	}
 }
 
-// tellLeaving tells a router which upstreams have lately said that they leave.
-func (n *Node) tellLeaving(to wire.NodeID, now time.Time) {
+// attachLeaving tells a router which upstreams have lately said that they leave.
+func (n *Node) attachLeaving(to wire.NodeID, now time.Time) {
 	var list []version.ID
-	for id, l := range n.leavers {
-		if p := n.pools[l.service]; p == nil || p.ups[id] == nil || now.Sub(l.since) >= leaverToldFor {
-			delete(n.leavers, id)
+	for id, l := range n.leavingUpstreams {
+		if p := n.pools[l.service]; p == nil || p.upstreams[id] == nil || now.Sub(l.since) >= leavingNoticeTTL {
+			delete(n.leavingUpstreams, id)
 			continue
 		}
 		list = append(list, id)
 	}
 	slices.Sort(list)
-	n.box.To(to).Drains = list
+	n.outbox.To(to).Drains = list
 }
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -29,13 +29,13 @@
 	for _, routers := range []int{3, 20} {
 		f := newFleet(t, routers, 2)
 		id := f.other()
-		f.nodes[id].Step(SaysLeaving{Instance: f.instanceOf(id, "e0")}, f.now)
+		f.nodes[id].Step(LeaveNotice{Instance: f.instanceOf(id, "e0")}, f.now)
 		f.deliver()
 		for i, from := range f.order {
 			f.arrive(from, uint64(i+1), engines, "a", 20)
 			assert.Equal(t, "e1", f.placed(from, uint64(i+1)).Instance.ID, "%d routers, asked by %s", routers, from)
 		}
-		assert.Equal(t, []string{"e1"}, idsOf(f.nodes[f.scheduler()].Scheduled(f.now)), "nor is it asked what it keeps")
+		assert.Equal(t, []string{"e1"}, idsOf(f.nodes[f.scheduler()].ScheduledEngines(f.now)), "nor is it asked what it keeps")
 	}
 }
 
@@ -52,10 +52,10 @@
 	f := newFleet(t, 3, 1)
 	id := f.order[0]
 	f.lose = func() bool { return true }
-	f.nodes[id].Step(SaysLeaving{Instance: f.instanceOf(id, "c0")}, f.now)
+	f.nodes[id].Step(LeaveNotice{Instance: f.instanceOf(id, "c0")}, f.now)
 	f.deliver()
 	f.lose = nil
-	f.run(2 * beatPeriod(3))
+	f.run(2 * heartbeatPeriod(3))
 	for i, from := range f.order {
 		f.arrive(from, uint64(i+1), counter, "a", 10)
 		assert.Equal(t, "c1", f.placed(from, uint64(i+1)).Instance.ID)
@@ -67,8 +67,8 @@
 	f := newFleet(t, 2, 1)
 	id := f.order[0]
 	i := f.instanceOf(id, "c0")
-	f.nodes[id].Step(SaysLeaving{Instance: i}, f.now)
-	f.nodes[id].Step(Catalogue{Table: f.nodes[id].cat.Table, Instances: []routing.Instance{i}, Part: true, Revision: 10, AsOf: 10}, f.now)
+	f.nodes[id].Step(LeaveNotice{Instance: i}, f.now)
+	f.nodes[id].Step(Catalogue{Table: f.nodes[id].catalogue.Table, Instances: []routing.Instance{i}, Incremental: true, Revision: 10, AsOf: 10}, f.now)
 	f.arrive(id, 1, counter, "a", 10)
 	assert.Equal(t, "c1", f.placed(id, 1).Instance.ID)
 }
@@ -79,12 +79,12 @@
 	id := f.order[0]
 	n := f.nodes[id]
 	i := f.instanceOf(id, "c0")
-	n.Step(SaysLeaving{Instance: i}, f.now)
-	n.Step(Catalogue{Table: n.cat.Table, Part: true, Ended: []routing.Ended{{Instance: i}}, Revision: 10, AsOf: 10}, f.now)
+	n.Step(LeaveNotice{Instance: i}, f.now)
+	n.Step(Catalogue{Table: n.catalogue.Table, Incremental: true, Ended: []routing.Ended{{Instance: i}}, Revision: 10, AsOf: 10}, f.now)
 	f.run(time.Second)
-	require.Empty(t, n.leavers)
+	require.Empty(t, n.leavingUpstreams)
 	i.Born = 77
-	n.Step(Catalogue{Table: n.cat.Table, Part: true, Instances: []routing.Instance{i}, Revision: 11, AsOf: 11}, f.now)
+	n.Step(Catalogue{Table: n.catalogue.Table, Incremental: true, Instances: []routing.Instance{i}, Revision: 11, AsOf: 11}, f.now)
 	f.arrive(id, 1, counter, "a", 10)
 	assert.Equal(t, "c0", f.placed(id, 1).Instance.ID)
 }
@@ -96,8 +96,8 @@
 	id := f.other()
 	told := 0
 	f.onSend = func(_ wire.NodeID, s Send) { told += len(s.Datagram.Drains) }
-	f.nodes[id].Step(SaysLeaving{Instance: f.instanceOf(id, "e0")}, f.now)
-	f.run(2 * leaverToldFor)
+	f.nodes[id].Step(LeaveNotice{Instance: f.instanceOf(id, "e0")}, f.now)
+	f.run(2 * leavingNoticeTTL)
 	assert.Positive(t, told)
 	for _, other := range f.order {
 		assert.True(t, f.instanceOf(other, "e0").Draining, "everyone knows")
--- a/internal/dispatch/look.go
+++ b/internal/dispatch/look.go
@@ -45,10 +45,10 @@
 
 // add takes an upstream, once.
 func (l *look) add(u *upstream) {
-	if u.lookedAt == l.no {
+	if u.lastDecision == l.no {
 		return
 	}
-	u.lookedAt = l.no
+	u.lastDecision = l.no
 	l.list = append(l.list, u)
 }
 
@@ -117,7 +117,7 @@
 	}
 	for range min(unusedSteps, len(s.all)) {
 		s.next %= len(s.all)
-		if u := s.all[s.next]; u.inUse == notInUse && u.takes(a, false, now) && p.coldRoom(u, now) {
+		if u := s.all[s.next]; u.inUse == notInUse && u.takes(a, false, now) && p.admitsIfCold(u, now) {
 			p.look.add(u)
 			return
 		}
@@ -133,7 +133,7 @@
 	first := int(l.no % uint64(len(p.order)))
 	for i := range p.order {
 		u := p.order[(first+i)%len(p.order)]
-		if u.lookedAt != l.no && p.hasRoom(u, a, rested, now) {
+		if u.lastDecision != l.no && p.hasRoom(u, a, rested, now) {
 			l.add(u)
 		}
 		if len(l.list) == lookAtAll {
--- a/internal/dispatch/model.go
+++ b/internal/dispatch/model.go
@@ -39,10 +39,10 @@
 			continue
 		}
 		m := p.learner.Model()
-		if !differ(m, p.logged) {
+		if !differ(m, p.loggedModel) {
 			continue
 		}
-		p.logged = m
+		p.loggedModel = m
 		n.event(Event{Name: "prefill-model", Value: uint64(p.learner.Seen()),
 			Detail: fmt.Sprintf("%s: base %.1f ms, %.2f ms a thousand tokens, %.3f ms a million pairs, %.2f ms a thousand fetched", p.service, m.Base, 1000*m.PerToken, m.PerPair, 1000*m.PerFetched)})
 	}
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -19,7 +19,7 @@
 		input := 500 + 100*int(no%40)
 		f.arrive(id, no, engines, "a", input)
 		after := 50*time.Millisecond + time.Duration(input)*10*time.Microsecond // 100 tokens a millisecond
-		f.run(after.Round(TickEvery))
+		f.run(after.Round(TickInterval))
 		f.nodes[id].Step(First{ID: no, After: after}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.NoteDone}, f.now)
 	}
@@ -29,8 +29,8 @@
 	f.cut[id] = true
 	heir := f.other()
 	f.arrive(heir, 100, engines, "a", 500)
-	f.run(askGiveUp + 2*TickEvery)
-	assert.InDelta(t, learned.Base+5, f.placed(heir, 100).OwnMS, 8)
+	f.run(minPlacementTimeout + 2*TickInterval)
+	assert.InDelta(t, learned.Base+5, f.placed(heir, 100).PrefillMS, 8)
 	assert.NotEqual(t, id, f.nodes[heir].schedulerOf(serviceID(engines), f.now))
 	told := f.nodes[f.nodes[heir].schedulerOf(serviceID(engines), f.now)].pools[serviceID(engines)].learner.Model()
 	assert.InDelta(t, learned.Base, told.Base, 0.1)
@@ -47,7 +47,7 @@
 	n := New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{heir}, Retry: DefaultRetryRules}, f.now)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(2), Revision: 5, AsOf: 9}, f.now)
 	f.nodes[id] = n
-	f.run(2 * beatEvery)
+	f.run(2 * heartbeatInterval)
 	assert.Equal(t, id, f.scheduler())
 	assert.InDelta(t, 200, n.pools[serviceID(engines)].learner.Model().Base, 0.1)
 }
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -21,37 +21,37 @@
 
 // Timing of a node.
 const (
-	// TickEvery is how often the driver calls Tick.
-	TickEvery = 10 * time.Millisecond
-	// PauseLimit is the gap between two ticks after which the node takes itself
+	// TickInterval is how often the driver calls Tick.
+	TickInterval = 10 * time.Millisecond
+	// PauseThreshold is the gap between two ticks after which the node takes itself
 	// to have been frozen.
-	PauseLimit = time.Second
+	PauseThreshold = time.Second
 
-	// lateTick is the gap between ticks from which a router is late itself.
-	lateTick = 3 * TickEvery
-	// askAgain is after how long an unanswered ask is sent again: a datagram or
+	// overloadTickGap is the gap between ticks from which a router is late itself.
+	overloadTickGap = 3 * TickInterval
+	// minPlacementRetryDelay is after how long an unanswered ask is sent again: a datagram or
 	// its answer was lost. Ten round trips between places of a region.
-	askAgain = 20 * time.Millisecond
-	// askGiveUp is after how long a router decides for itself, and askMost the same where
+	minPlacementRetryDelay = 20 * time.Millisecond
+	// minPlacementTimeout is after how long a router decides for itself, and maxPlacementTimeout the same where
 	// answers are seen to take longer: a quarter of a patient target.
-	askGiveUp = 45 * time.Millisecond
-	askMost   = 250 * time.Millisecond
-	// silentFor is how long a router that did not answer an ask is passed over,
+	minPlacementTimeout = 45 * time.Millisecond
+	maxPlacementTimeout = 250 * time.Millisecond
+	// silentRouterExclusion is how long a router that did not answer an ask is passed over,
 	// unless it is heard again.
-	silentFor = 2 * time.Second
+	silentRouterExclusion = 2 * time.Second
 	// noteDelay is how long news wait for company on the way to the scheduler.
 	noteDelay = 8 * time.Millisecond
-	// fetchAgain is the pause between two reads of the store's content from peers, and
-	// fetchPatience how long one may take before another peer is asked beside it: hundreds of
+	// contentFetchPause is the pause between two reads of the store's content from peers, and
+	// contentFetchTimeout how long one may take before another peer is asked beside it: hundreds of
 	// routers read some megabytes from the same few at once.
-	fetchAgain    = 100 * time.Millisecond
-	fetchPatience = time.Second
-	// fetchAfter is how long the own watch has to tell what a peer knows already;
-	// fetchSpread is over how long routers that do not watch spread their reads.
-	fetchAfter  = 200 * time.Millisecond
-	fetchSpread = 40 * time.Millisecond
-	// maxTold is how many lately read prompt parts a regular message tells at most.
-	maxTold = 400
+	contentFetchPause   = 100 * time.Millisecond
+	contentFetchTimeout = time.Second
+	// watcherFetchDelay is how long the own watch has to tell what a peer knows already;
+	// fetchJitter is over how long routers that do not watch spread their reads.
+	watcherFetchDelay = 200 * time.Millisecond
+	fetchJitter       = 40 * time.Millisecond
+	// maxReportedParts is how many lately read prompt parts a regular message tells at most.
+	maxReportedParts = 400
 )
 
 // Settings of a node, fixed for the process.
@@ -75,67 +75,67 @@
 // Without leaves mechanisms out, to measure what each brings (internal/lab/tokens).
 // Routers leave out none.
 type Without struct {
-	Shares     bool // organisations are all alike, whatever they had
-	Parts      bool // nothing is known of what engines keep
-	Fetch      bool // kept parts are never fetched from another engine
-	Refusals   bool // nobody is refused for the wait
-	Scheduler  bool // each router decides alone
-	Connection bool // kept connections are not preferred
-	Learning   bool // what is believed of engines' times before anything is seen stays
+	Shares    bool // organisations are all alike, whatever they had
+	Parts     bool // nothing is known of what engines keep
+	Fetch     bool // kept parts are never fetched from another engine
+	Refusals  bool // nobody is refused for the wait
+	Scheduler bool // each router decides alone
+	ConnReuse bool // kept connections are not preferred
+	Learning  bool // what is believed of engines' times before anything is seen stays
 }
 
 // Node is one router's dispatch state. One goroutine owns it.
 type Node struct {
-	set     Settings
-	place   version.ID
-	members *member.Table
-	cat     Catalogue
-	pools   map[version.ID]*pool
-	flights map[uint64]*flight
-	budgets map[version.ID]*retryBudget
-	ranks   map[version.ID]*ranking
-	silent  map[wire.NodeID]time.Time // until when a router is passed over
-	ahead   map[wire.NodeID]ahead
-	read    []wire.HeldPart // since the last regular message
-	unasked unaskedWork
-	demands demands
-	words   words
-	trip    roundTrip
-	gaveUp  map[uint64]givenUp // by the request's number
-	reports reports
-	crashes *quarantine.Tracker
-	quorum  quorum
-	leavers leavers
+	settings         Settings
+	place            version.ID
+	members          *member.Table
+	catalogue        Catalogue
+	pools            map[version.ID]*pool
+	inflight         map[uint64]*flight
+	budgets          map[version.ID]*retryBudget
+	rankings         map[version.ID]*ranking
+	silent           map[wire.NodeID]time.Time // until when a router is passed over
+	newerContent     map[wire.NodeID]newerContent
+	readParts        []wire.HeldPart // since the last regular message
+	unreportedUsage  unaskedWork
+	demands          demands
+	shareUpdates     words
+	replyRTT         roundTrip
+	timedOutRequests map[uint64]givenUp // by the request's number
+	reports          reports
+	crashes          *quarantine.Tracker
+	quorum           quorum
+	leavingUpstreams leavingUpstreams
 
 	upstreamPlaces map[string]bool // in which upstreams stand
 
-	notes   map[wire.NodeID][]wire.WorkNote
-	noteDue time.Time
-	beats   beats
-	fleet   fleetDemands
-	begun   time.Time
+	notes      map[wire.NodeID][]wire.WorkNote
+	notesDue   time.Time
+	heartbeats heartbeats
+	demandSums fleetDemands
+	startedAt  time.Time
 
-	firstLook time.Duration // after the start, when no table was heard of
+	firstReadDelay time.Duration // after the start, when no table was heard of
 
-	store     storeSights
-	fetchDue  time.Time
-	lastTick  time.Time
-	late      bool // this router is short of processor, or its last tick came late
-	strained  bool
-	heardAt   time.Time // any router
-	blamedAt  time.Time // a scheduler was taken for silent
-	lateness  lateness
-	bookedDue time.Time
-	worked    time.Time // when stated loads were last worked off
-	leaving   bool
-	rnd       *rand.Rand
-	box       member.Outbox
-	out       []Output
-	Counts    Counts
+	store            storeReadings
+	fetchDue         time.Time
+	lastTick         time.Time
+	overloaded       bool // this router is short of processor, or its last tick came late
+	cpuStrained      bool
+	lastReceivedAt   time.Time // any router
+	lastSilenceAt    time.Time // a scheduler was taken for silent
+	lateness         lateness
+	recordedUsageDue time.Time
+	loadsUpdatedAt   time.Time // when stated loads were last worked off
+	leaving          bool
+	rnd              *rand.Rand
+	outbox           member.Outbox
+	out              []Output
+	Counts           Counts
 }
 
 // ahead is a peer's later knowledge of the store's content.
-type ahead struct {
+type newerContent struct {
 	revision uint64
 	table    uint64    // number, 0 when it was not told
 	due      time.Time // when to read from it, if the own watch has not told
@@ -143,7 +143,7 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Placed, Refused, Asked, AskedAgain, OwnDecision, OwnPlaced, AnswersLate, Woke, Ended, PlacedCold uint64
+	Placed, Refused, PlacementRequests, PlacementRetries, LocalDecisions, LocalPlacements, LateReplies, Woke, Ended, PlacedCold uint64
 }
 
 // New returns a node that has heard nobody.
@@ -151,36 +151,36 @@
 	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
 	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Power: set.Power}
 	return &Node{
-		set:       set,
-		place:     version.IDOf(set.Place),
-		members:   member.New(self, set.Seeds, now, rnd),
-		pools:     map[version.ID]*pool{},
-		flights:   map[uint64]*flight{},
-		budgets:   map[version.ID]*retryBudget{},
-		silent:    map[wire.NodeID]time.Time{},
-		ranks:     map[version.ID]*ranking{},
-		ahead:     map[wire.NodeID]ahead{},
-		store:     newStoreSights(),
-		notes:     map[wire.NodeID][]wire.WorkNote{},
-		lastTick:  now,
-		rnd:       rnd,
-		unasked:   newUnaskedWork(),
-		demands:   demands{},
-		words:     newWords(),
-		gaveUp:    map[uint64]givenUp{},
-		reports:   newReports(),
-		leavers:   leavers{},
-		crashes:   quarantine.NewTracker(set.ID),
-		begun:     now,
-		firstLook: firstLookOf(set, rnd),
-		beats:     beats{schedulers: map[version.ID]wire.NodeID{}, changed: map[version.ID]time.Time{}, since: map[version.ID]time.Time{}},
-		fleet:     fleetDemands{},
+		settings:         set,
+		place:            version.IDOf(set.Place),
+		members:          member.New(self, set.Seeds, now, rnd),
+		pools:            map[version.ID]*pool{},
+		inflight:         map[uint64]*flight{},
+		budgets:          map[version.ID]*retryBudget{},
+		silent:           map[wire.NodeID]time.Time{},
+		rankings:         map[version.ID]*ranking{},
+		newerContent:     map[wire.NodeID]newerContent{},
+		store:            newStoreReadings(),
+		notes:            map[wire.NodeID][]wire.WorkNote{},
+		lastTick:         now,
+		rnd:              rnd,
+		unreportedUsage:  newUnaskedWork(),
+		demands:          demands{},
+		shareUpdates:     newWords(),
+		timedOutRequests: map[uint64]givenUp{},
+		reports:          newReports(),
+		leavingUpstreams: leavingUpstreams{},
+		crashes:          quarantine.NewTracker(set.ID),
+		startedAt:        now,
+		firstReadDelay:   firstReadDelayOf(set, rnd),
+		heartbeats:       heartbeats{schedulers: map[version.ID]wire.NodeID{}, schedulerSince: map[version.ID]time.Time{}, schedulingSince: map[version.ID]time.Time{}},
+		demandSums:       fleetDemands{},
 	}
 }
 
 // Step takes one input.
 func (n *Node) Step(in Input, now time.Time) {
-	n.notePause(now)
+	n.detectPause(now)
 	switch in := in.(type) {
 	case Receive:
 		n.receive(in.Datagram, now)
@@ -193,23 +193,23 @@
 	case End:
 		n.end(in, now)
 	case Catalogue:
-		n.catalogue(in, now)
-	case Sighted:
-		n.sighted(in, now)
-	case Kept:
-		n.kept(in, now)
-	case Seen:
-		n.cat.AsOf = max(n.cat.AsOf, in.AsOf)
-	case Unsighted:
+		n.applyCatalogue(in, now)
+	case StoreRead:
+		n.storeRead(in, now)
+	case CacheUpdate:
+		n.applyCacheUpdate(in, now)
+	case CaughtUp:
+		n.catalogue.AsOf = max(n.catalogue.AsOf, in.AsOf)
+	case StoreUnreachable:
 		n.store.failedAt = now
-	case Strained:
-		n.strained = in.On
-	case Turned:
+	case CPUOverload:
+		n.cpuStrained = in.On
+	case LoadShed:
 		n.turned(in, now)
-	case NewSettings:
-		n.newSettings(in, now)
-	case Inherit:
-		n.inherit(in, now)
+	case UpdateSettings:
+		n.applySettings(in, now)
+	case SnapshotFetched:
+		n.applySnapshot(in, now)
 	case Broke:
 		n.broke(in, now)
 	case ConnRefused:
@@ -217,56 +217,56 @@
 	case Answered:
 		n.crashes.Answered(in.Content, now)
 	case Looked:
-		n.looked(in, now)
+		n.healthChecked(in, now)
 	case RetryAfter:
 		n.retryAfter(in, now)
-	case SaysLeaving:
-		n.saysLeaving(in.Instance, now)
-	case FetchEnded:
-		n.fetchDue = now.Add(fetchAgain)
+	case LeaveNotice:
+		n.handleLeaveNotice(in.Instance, now)
+	case FetchContentEnded:
+		n.fetchDue = now.Add(contentFetchPause)
 	case Leave:
 		n.leave()
 	}
 }
 
-// Tick moves time on. The driver calls it every TickEvery.
+// Tick moves time on. The driver calls it every TickInterval.
 func (n *Node) Tick(now time.Time) {
-	n.late = n.strained || now.Sub(n.lastTick) > lateTick
-	n.notePause(now)
+	n.overloaded = n.cpuStrained || now.Sub(n.lastTick) > overloadTickGap
+	n.detectPause(now)
 	n.lastTick = now
 	n.tickLate(now)
 	n.tickStated(now)
 	for _, s := range n.members.Tick(now) {
-		n.box.Post(s)
+		n.outbox.Post(s)
 	}
 	n.tickFlights(now)
 	n.tickFetch(now)
 	n.tickUnasked(now)
 	n.tickBooked(now)
-	n.tickInherit(now)
+	n.tickTakeover(now)
 	n.tickReports(now)
-	n.tickCold(now)
-	n.box.TellCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
-	n.tickBeat(now)
+	n.reportColdChanges(now)
+	n.outbox.TellCrashes(n.members.Live(true), n.settings.ID, n.crashes.Tick(now))
+	n.tickHeartbeat(now)
 }
 
 // Ready returns what to do after the inputs since the last call.
 func (n *Node) Ready(now time.Time) []Output {
-	if len(n.notes) > 0 && !now.Before(n.noteDue) {
+	if len(n.notes) > 0 && !now.Before(n.notesDue) {
 		n.flushNotes()
 	}
 	n.reportCrashes()
-	n.seal()
+	n.sendDatagrams()
 	out := n.out
 	n.out = nil
 	return out
 }
 
-// notePause notices that the process was frozen: what it believes of others'
+// detectPause notices that the process was frozen: what it believes of others'
 // load is old, so it lets others decide until it has heard them.
-func (n *Node) notePause(now time.Time) {
+func (n *Node) detectPause(now time.Time) {
 	gap := now.Sub(n.lastTick)
-	if gap <= PauseLimit {
+	if gap <= PauseThreshold {
 		return
 	}
 	n.lastTick = now
@@ -278,12 +278,12 @@
 	}
 }
 
-func (n *Node) newSettings(in NewSettings, now time.Time) {
-	n.set.Seeds = in.Seeds
+func (n *Node) applySettings(in UpdateSettings, now time.Time) {
+	n.settings.Seeds = in.Seeds
 	n.members.Meet(in.Seeds, now)
-	n.set.Cold = in.Cold
-	if in.Retry != n.set.Retry {
-		n.set.Retry = in.Retry
+	n.settings.Cold = in.Cold
+	if in.Retry != n.settings.Retry {
+		n.settings.Retry = in.Retry
 		clear(n.budgets) // counted anew: a window's worth is allowed again at most
 	}
 }
@@ -295,15 +295,15 @@
 	n.leaving = true
 	n.members.Leave()
 	for _, id := range n.members.Live(true) {
-		if id != n.set.ID {
-			n.box.To(id)
+		if id != n.settings.ID {
+			n.outbox.To(id)
 		}
 	}
 	n.event(Event{Name: "leaving"})
 }
 
-// dropDead forgets what routers had placed that are dead.
-func (n *Node) dropDead(now time.Time) {
+// forgetDead forgets what routers had placed that are dead.
+func (n *Node) forgetDead(now time.Time) {
 	if dead := n.members.Dead(); len(dead) > 0 {
 		n.forgetRouters(dead, now)
 	}
@@ -312,10 +312,10 @@
 			delete(n.demands, id)
 		}
 	}
-	n.fleet.expire(now)
-	for id := range n.store.heard {
+	n.demandSums.expire(now)
+	for id := range n.store.byReader {
 		if n.members.Get(id) == nil {
-			delete(n.store.heard, id)
+			delete(n.store.byReader, id)
 		}
 	}
 }
@@ -323,15 +323,15 @@
 // forgetRouters forgets what routers had placed, stated and told that are gone.
 func (n *Node) forgetRouters(gone map[wire.NodeID]bool, now time.Time) {
 	for _, p := range n.pools {
-		p.lost(gone, now)
+		p.dropRouters(gone, now)
 	}
-	for _, f := range n.flights {
+	for _, f := range n.inflight {
 		f.orphan = f.orphan || gone[f.by] && f.placed != 0
 	}
 	for id := range gone {
 		n.setLate(id, false)
-		delete(n.ahead, id)
-		delete(n.store.blind, id)
+		delete(n.newerContent, id)
+		delete(n.store.unreachable, id)
 	}
 }
 
@@ -339,7 +339,7 @@
 
 // work returns the work part of the datagram being filled for a router.
 func (n *Node) work(id wire.NodeID) *wire.Work {
-	d := n.box.To(id)
+	d := n.outbox.To(id)
 	if d.Work == nil {
 		d.Work = &wire.Work{Late: n.lateness.told}
 	}
@@ -347,8 +347,8 @@
 }
 
 // seal hands every datagram over to be sent.
-func (n *Node) seal() {
-	n.box.Seal(n.members, func(to wire.NodeID, d *wire.Datagram) {
+func (n *Node) sendDatagrams() {
+	n.outbox.Seal(n.members, func(to wire.NodeID, d *wire.Datagram) {
 		n.out = append(n.out, Send{To: to, Datagram: d})
 	})
 }
@@ -357,4 +357,4 @@
 func (n *Node) Routers() []wire.NodeID { return n.members.Live(true) }
 
 // Heard reports whether any other router was ever heard.
-func (n *Node) Heard() bool { return len(n.members.Live(true)) > 1 }
+func (n *Node) HasPeers() bool { return len(n.members.Live(true)) > 1 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -36,7 +36,7 @@
 // after failures is passed over, unless rested says that all that could take it do:
 // a try there is better than a refusal. One that backs off is not tried.
 func (u *upstream) takes(a *wire.WorkAsk, rested bool, now time.Time) bool {
-	if u.closed() || !u.mayRun(a.Regions) || u.rest.resting(now) && !rested || u.backsOff(a) {
+	if u.closed() || !u.mayRun(a.Regions) || u.ejection.resting(now) && !rested || u.backsOff(a) {
 		return false
 	}
 	for _, id := range a.Avoid {
@@ -90,7 +90,7 @@
 	e := expectation{work: c.work, waitMS: int(c.waitMS)}
 	if p.cold.PerSecond > 0 {
 		e.cold = c.up.isCold(0, now)
-		e.look = !e.cold && (p.blind || now.Sub(c.up.cold.answered) >= silentStart)
+		e.look = !e.cold && (p.mayMissCold || now.Sub(c.up.cold.answeredAt) >= silentRestartAfter)
 	}
 	if p.engine != nil {
 		e.ownMS = int(p.learner.Model().Base + c.ownMS)
@@ -139,14 +139,14 @@
 
 // hasRoom reports whether an upstream takes a request now.
 func (p *pool) hasRoom(u *upstream, a *wire.WorkAsk, rested bool, now time.Time) bool {
-	if !u.takes(a, rested, now) || !p.coldRoom(u, now) {
+	if !u.takes(a, rested, now) || !p.admitsIfCold(u, now) {
 		return false
 	}
 	if p.engine == nil {
 		return true
 	}
-	own := ownTokens(int(a.Input), int(a.Output), a.Parts)
-	usable := int(memoryUsable * float64(p.engine.MemoryTokens))
+	own := privateTokens(int(a.Input), int(a.Output), a.Parts)
+	usable := int(usableMemoryRatio * float64(p.engine.MemoryTokens))
 	return u.running() < p.engine.Slots && u.memory()+own <= usable
 }
 
@@ -182,7 +182,7 @@
 			continue
 		}
 		u.kept, u.ready = u.cache.prefix(a.Parts)
-		if p.without.Fetch || u.ready == 0 || u.evacuated || !u.mayRun(a.Regions) || u.rest.resting(now) {
+		if p.without.Fetch || u.ready == 0 || u.evacuated || !u.mayRun(a.Regions) || u.ejection.resting(now) {
 			continue
 		}
 		if holder == nil || u.ready > holder.ready {
@@ -209,14 +209,14 @@
 	if u.place != a.Place {
 		c.price += otherPlaceMS
 	}
-	if !p.without.Connection && !u.conns.kept(from, now) {
+	if !p.without.ConnReuse && !u.conns.kept(from, now) {
 		c.price += newConnMS
 	}
 	if u.inUse == notInUse && !p.isSmall() {
 		c.price += wakeMS
 	}
 	c.cost = c.waitMS + c.ownMS + c.price + p.crowd(u)
-	if p.alone {
+	if p.withoutScheduler {
 		c.cost += spread(from, u)
 	}
 	return c
@@ -248,9 +248,9 @@
 		if !p.hasRoom(u, a, rested, now) {
 			continue
 		}
-		u.settle(now)
+		u.fadeSlowness(now)
 		own := len(u.runs)
-		c := &choice{up: u, cost: (float64(own)*plainRunMS + float64(max(0, u.running()-own))*plainOtherMS) * u.slow}
+		c := &choice{up: u, cost: (float64(own)*plainRunMS + float64(max(0, u.running()-own))*plainOtherMS) * u.slowFactor}
 		if u.place != a.Place {
 			c.cost += plainPlaceMS
 		}
--- a/internal/dispatch/rank.go
+++ b/internal/dispatch/rank.go
@@ -16,7 +16,7 @@
 	if ranked := n.ranked(service, now); len(ranked) > 0 {
 		return ranked[0]
 	}
-	return n.set.ID
+	return n.settings.ID
 }
 
 // ranked returns the live routers that are not known to be silent in the order in
@@ -27,7 +27,7 @@
 }
 
 func (n *Node) ranking(service version.ID, now time.Time) *ranking {
-	r := n.ranks[service]
+	r := n.rankings[service]
 	if r != nil && r.holds(n, now) {
 		return r
 	}
@@ -44,7 +44,7 @@
 	for _, e := range list {
 		r.order = append(r.order, e.id)
 	}
-	n.ranks[service] = r
+	n.rankings[service] = r
 	return r
 }
 
@@ -69,14 +69,14 @@
 	rankFor = 100 * time.Millisecond
 	// rankLeast is how long it is kept in a large fleet where states change all the time:
 	// hundreds of routers that start together are heard of one by one.
-	rankLeast = 2 * TickEvery
+	rankLeast = 2 * TickInterval
 )
 
 // holds reports whether a ranking may still be used.
 func (r *ranking) holds(n *Node, now time.Time) bool {
 	age := now.Sub(r.at)
 	if r.changes != n.members.Changes {
-		return age < rankLeast && len(r.order) > meshUpTo
+		return age < rankLeast && len(r.order) > meshMaxRouters
 	}
 	return len(n.silent) == 0 || age < rankFor
 }
@@ -85,8 +85,8 @@
 // differences do not make one router the scheduler of everything.
 func (n *Node) power(id wire.NodeID) uint32 {
 	const step = 250
-	if id == n.set.ID {
-		return n.set.Power / step
+	if id == n.settings.ID {
+		return n.settings.Power / step
 	}
 	if m := n.members.Get(id); m != nil {
 		return m.Power / step
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -19,7 +19,7 @@
 	list[6].Place = "x"
 	for _, id := range f.order {
 		n := f.nodes[id]
-		n.set.Regions = map[string]string{"p": "north", "q": "south"}
+		n.settings.Regions = map[string]string{"p": "north", "q": "south"}
 		clear(n.pools)
 	}
 	f.publishAll(list)
@@ -29,7 +29,7 @@
 
 func (f *fleet) arriveBound(id wire.NodeID, no uint64, service string, regions routing.Regions, parts ...wire.PromptPart) {
 	f.nodes[id].Step(Arrive{Request: Request{ID: no, Service: service, Org: "a", Input: 7000, Output: 50, Parts: parts, Regions: regions,
-		Aim: f.now.Add(5 * time.Second), Deadline: f.now.Add(20 * time.Second)}}, f.now)
+		TargetTime: f.now.Add(5 * time.Second), Deadline: f.now.Add(20 * time.Second)}}, f.now)
 	f.deliver()
 }
 
@@ -81,7 +81,7 @@
 	north := f.nodes[id].pools[serviceID(engines)].order
 	for _, u := range north {
 		if u.inst.Place == "p" {
-			f.nodes[id].answered(s, wire.WorkAnswer{No: 1, Try: 1, Upstream: u.id}, f.now)
+			f.nodes[id].handleReply(s, wire.WorkAnswer{No: 1, Try: 1, Upstream: u.id}, f.now)
 			break
 		}
 	}
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -18,12 +18,12 @@
 // tells each change to all, what crosses between places grows with routers times upstreams.
 
 const (
-	// relayCount is how many relays a place has: one may be gone, or be lost with a
+	// relaysPerPlace is how many relays a place has: one may be gone, or be lost with a
 	// datagram.
-	relayCount = 2
-	// relayWait is how long a router that hears of a change from another place leaves it to
+	relaysPerPlace = 2
+	// relayGracePeriod is how long a router that hears of a change from another place leaves it to
 	// its relays: reading, decoding and telling a table of some megabytes.
-	relayWait = 500 * time.Millisecond
+	relayGracePeriod = 500 * time.Millisecond
 )
 
 // relays returns the relays by place. A small fleet has none.
@@ -38,7 +38,7 @@
 	r.relays = map[string][]wire.NodeID{}
 	for _, id := range r.order {
 		place := n.placeOf(id)
-		if place != "" && len(r.relays[place]) < relayCount {
+		if place != "" && len(r.relays[place]) < relaysPerPlace {
 			r.relays[place] = append(r.relays[place], id)
 		}
 	}
@@ -47,13 +47,13 @@
 
 // isRelay reports whether this router is a relay of its place.
 func (n *Node) isRelay(now time.Time) bool {
-	return slices.Contains(n.relays(now)[n.set.Place], n.set.ID)
+	return slices.Contains(n.relays(now)[n.settings.Place], n.settings.ID)
 }
 
 // placeOf returns a router's place, "" while it is not known.
 func (n *Node) placeOf(id wire.NodeID) string {
-	if id == n.set.ID {
-		return n.set.Place
+	if id == n.settings.ID {
+		return n.settings.Place
 	}
 	if m := n.members.Get(id); m != nil {
 		return m.Place
@@ -61,28 +61,28 @@
 	return ""
 }
 
-// IsNear reports whether a router stands in this router's place.
-func (n *Node) IsNear(id wire.NodeID) bool { return n.placeOf(id) == n.set.Place }
+// InSamePlace reports whether a router stands in this router's place.
+func (n *Node) InSamePlace(id wire.NodeID) bool { return n.placeOf(id) == n.settings.Place }
 
 // neighbours returns the live routers of the own place, without this one.
 func (n *Node) neighbours() []wire.NodeID {
 	var out []wire.NodeID
 	for _, id := range n.members.Live(true) {
-		if id != n.set.ID && n.IsNear(id) {
+		if id != n.settings.ID && n.InSamePlace(id) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// toldOfChanges returns whom a router tells that has read a change from the store.
-func (n *Node) toldOfChanges(now time.Time) []wire.NodeID {
+// changeRecipients returns whom a router tells that has read a change from the store.
+func (n *Node) changeRecipients(now time.Time) []wire.NodeID {
 	if !n.isLarge() {
 		return n.members.Live(true)
 	}
 	out := n.neighbours()
 	for place, ids := range n.relays(now) {
-		if place != n.set.Place {
+		if place != n.settings.Place {
 			out = append(out, ids...)
 		}
 	}
@@ -90,32 +90,32 @@
 	return out
 }
 
-// tellChanges tells routers of a change of the store's content.
-func (n *Node) tellChanges(to []wire.NodeID, d *wire.StoreDelta, now time.Time) {
+// sendDelta tells routers of a change of the store's content.
+func (n *Node) sendDelta(to []wire.NodeID, d *wire.StoreDelta, now time.Time) {
 	for _, id := range to {
-		if id != n.set.ID {
+		if id != n.settings.ID {
 			w := n.work(id)
-			w.Delta, w.Sight = d, n.store.told(now)
+			w.Delta, w.Sight = d, n.store.current(now)
 		}
 	}
 }
 
-// passOn tells the own place of a change that a relay has heard from another one.
-func (n *Node) passOn(from wire.NodeID, d *wire.StoreDelta, now time.Time) {
-	if d.To <= n.store.passedOn || n.IsNear(from) || !n.isRelay(now) {
+// relayDelta tells the own place of a change that a relay has heard from another one.
+func (n *Node) relayDelta(from wire.NodeID, d *wire.StoreDelta, now time.Time) {
+	if d.To <= n.store.relayedUpTo || n.InSamePlace(from) || !n.isRelay(now) {
 		return
 	}
-	n.store.passedOn = d.To
-	n.tellChanges(n.neighbours(), d, now)
+	n.store.relayedUpTo = d.To
+	n.sendDelta(n.neighbours(), d, now)
 }
 
 // announceFetched tells the own place that a relay has read content which they may read
 // from it.
 func (n *Node) announceFetched(before uint64, now time.Time) {
-	if n.cat.AsOf <= before || !n.store.fetching {
+	if n.catalogue.AsOf <= before || !n.store.fetchPending {
 		return
 	}
-	n.store.fetching = false
+	n.store.fetchPending = false
 	if !n.isRelay(now) {
 		return
 	}
@@ -126,45 +126,45 @@
 // read from it.
 func (n *Node) offerContent(to []wire.NodeID, now time.Time) {
 	for _, id := range to {
-		if id != n.set.ID {
-			n.tellStore(id, now)
+		if id != n.settings.ID {
+			n.attachStoreState(id, now)
 		}
 	}
 }
 
-// fetchWait is how long a router leaves it to others to tell what a peer knows already: to
+// fetchDelay is how long a router leaves it to others to tell what a peer knows already: to
 // its own watch of the store, or to the relays of its place.
-func (n *Node) fetchWait(from wire.NodeID, now time.Time) time.Duration {
-	spread := time.Duration(n.rnd.Int64N(int64(fetchSpread)))
+func (n *Node) fetchDelay(from wire.NodeID, now time.Time) time.Duration {
+	spread := time.Duration(n.rnd.Int64N(int64(fetchJitter)))
 	switch {
 	case n.Watches(now):
-		return fetchAfter
-	case n.isLarge() && !n.IsNear(from) && !n.isRelay(now):
-		return relayWait + spread
+		return watcherFetchDelay
+	case n.isLarge() && !n.InSamePlace(from) && !n.isRelay(now):
+		return relayGracePeriod + spread
 	}
 	return spread
 }
 
-// sourceFor returns whom to read from where a peer is ahead. A router without a table asks
+// contentSource returns whom to read from where a peer is ahead. A router without a table asks
 // the relays of its place and the peer in turn: it may be the first that knows of them.
-func (n *Node) sourceFor(peer wire.NodeID, now time.Time) wire.NodeID {
-	relays := n.relays(now)[n.set.Place]
-	if n.cat.Table != nil || n.IsNear(peer) || len(relays) == 0 || slices.Contains(relays, n.set.ID) {
+func (n *Node) contentSource(peer wire.NodeID, now time.Time) wire.NodeID {
+	relays := n.relays(now)[n.settings.Place]
+	if n.catalogue.Table != nil || n.InSamePlace(peer) || len(relays) == 0 || slices.Contains(relays, n.settings.ID) {
 		return peer
 	}
-	n.store.tries++
-	if n.store.tries%2 == 0 {
+	n.store.fetchAttempts++
+	if n.store.fetchAttempts%2 == 0 {
 		return peer
 	}
-	return relays[n.store.tries/2%len(relays)]
+	return relays[n.store.fetchAttempts/2%len(relays)]
 }
 
 // Another returns a router to read the whole content from in place of one whose answer
 // cannot be used: a relay of the own place, or any other router. It is empty when there is
 // none.
-func (n *Node) Another(than wire.NodeID, now time.Time) wire.NodeID {
-	usable := func(id wire.NodeID) bool { return id != n.set.ID && id != than }
-	for _, id := range n.relays(now)[n.set.Place] {
+func (n *Node) AlternativeSource(than wire.NodeID, now time.Time) wire.NodeID {
+	usable := func(id wire.NodeID) bool { return id != n.settings.ID && id != than }
+	for _, id := range n.relays(now)[n.settings.Place] {
 		if usable(id) {
 			return id
 		}
--- a/internal/dispatch/relay_test.go
+++ b/internal/dispatch/relay_test.go
@@ -25,8 +25,8 @@
 	}
 	f.onApply = func(id wire.NodeID, d *wire.StoreDelta) { f.know(id, d.To) }
 	f.onFetch = func(id, from wire.NodeID) {
-		if peer := f.nodes[from]; !f.cut[id] && !f.cut[from] && peer.cat.Table != nil && peer.cat.AsOf > f.nodes[id].cat.AsOf {
-			f.know(id, peer.cat.AsOf)
+		if peer := f.nodes[from]; !f.cut[id] && !f.cut[from] && peer.catalogue.Table != nil && peer.catalogue.AsOf > f.nodes[id].catalogue.AsOf {
+			f.know(id, peer.catalogue.AsOf)
 		}
 	}
 	return f
@@ -35,23 +35,23 @@
 // know lets a router know the store's content up to a revision.
 func (f *fleet) know(id wire.NodeID, asOf uint64) {
 	n := f.nodes[id]
-	if asOf <= n.cat.AsOf {
+	if asOf <= n.catalogue.AsOf {
 		return
 	}
-	n.Step(Catalogue{Table: n.cat.Table, Part: true, Revision: asOf, AsOf: asOf}, f.now)
+	n.Step(Catalogue{Table: n.catalogue.Table, Incremental: true, Revision: asOf, AsOf: asOf}, f.now)
 }
 
 // readChange lets a router that reads the store find a change.
 func (f *fleet) readChange(id wire.NodeID, to uint64, table bool) {
-	from := f.nodes[id].cat.AsOf
+	from := f.nodes[id].catalogue.AsOf
 	f.know(id, to)
-	f.nodes[id].Step(Sighted{Delta: &wire.StoreDelta{From: from, To: to, Table: table}}, f.now)
+	f.nodes[id].Step(StoreRead{Delta: &wire.StoreDelta{From: from, To: to, Table: table}}, f.now)
 }
 
 // behind returns how many routers do not know the content up to a revision.
 func (f *fleet) behind(asOf uint64) (n int) {
 	for _, id := range f.order {
-		if !f.cut[id] && f.nodes[id].cat.AsOf < asOf {
+		if !f.cut[id] && f.nodes[id].catalogue.AsOf < asOf {
 			n++
 		}
 	}
@@ -67,7 +67,7 @@
 	f.see(6 * time.Second)
 	crossed := 0
 	f.onSend = func(from wire.NodeID, s Send) {
-		if s.Datagram.Work != nil && s.Datagram.Work.Delta != nil && f.nodes[from].set.Place != f.nodes[s.To].set.Place {
+		if s.Datagram.Work != nil && s.Datagram.Work.Delta != nil && f.nodes[from].settings.Place != f.nodes[s.To].settings.Place {
 			crossed++
 		}
 	}
@@ -75,7 +75,7 @@
 	f.readChange(reader, 12, false)
 	f.deliver()
 	assert.Zero(t, f.behind(12))
-	assert.LessOrEqual(t, crossed, relayCount*(places-1))
+	assert.LessOrEqual(t, crossed, relaysPerPlace*(places-1))
 }
 
 // A new table is read by the relays of each place from elsewhere, and by all others from
@@ -86,15 +86,15 @@
 	f.see(6 * time.Second)
 	crossed, fetch := 0, f.onFetch
 	f.onFetch = func(id, from wire.NodeID) {
-		if f.nodes[id].set.Place != f.nodes[from].set.Place {
+		if f.nodes[id].settings.Place != f.nodes[from].settings.Place {
 			crossed++
 		}
 		fetch(id, from)
 	}
 	f.readChange(f.watching()[0], 13, true)
-	f.run(relayWait)
+	f.run(relayGracePeriod)
 	assert.Zero(t, f.behind(13))
-	assert.LessOrEqual(t, crossed, relayCount*(places-1))
+	assert.LessOrEqual(t, crossed, relaysPerPlace*(places-1))
 	assert.Positive(t, crossed)
 }
 
@@ -106,7 +106,7 @@
 	f.see(6 * time.Second)
 	for _, id := range f.order {
 		n := f.nodes[id]
-		n.Step(Catalogue{Table: n.cat.Table, Part: true, Revision: 40, AsOf: 20}, f.now)
+		n.Step(Catalogue{Table: n.catalogue.Table, Incremental: true, Revision: 40, AsOf: 20}, f.now)
 	}
 	reads := 0
 	fetch := f.onFetch
@@ -132,9 +132,9 @@
 	for _, other := range f.order {
 		n := f.nodes[other]
 		switch {
-		case n.set.Place == "p0" && !n.isRelay(f.now) && !n.Watches(f.now):
+		case n.settings.Place == "p0" && !n.isRelay(f.now) && !n.Watches(f.now):
 			id = other
-		case n.set.Place == "p1":
+		case n.settings.Place == "p1":
 			far = other
 		}
 	}
@@ -145,9 +145,9 @@
 		}
 	}
 	f.nodes[id].Step(Receive{Datagram: &wire.Datagram{From: far, Inc: 1, Work: &wire.Work{Revision: 50}}}, f.now)
-	f.run(relayWait - 2*TickEvery)
+	f.run(relayGracePeriod - 2*TickInterval)
 	assert.Zero(t, reads)
-	f.run(2*fetchSpread + 2*TickEvery)
+	f.run(2*fetchJitter + 2*TickInterval)
 	assert.Equal(t, 1, reads)
 }
 
@@ -159,7 +159,7 @@
 	reader := f.watching()[0]
 	for place, ids := range f.nodes[reader].relays(f.now) {
 		for _, id := range ids {
-			f.cut[id] = place != f.nodes[reader].set.Place
+			f.cut[id] = place != f.nodes[reader].settings.Place
 		}
 	}
 	f.readChange(reader, 13, true)
@@ -175,7 +175,7 @@
 	f := newPlacedFleet(t, 30, 5)
 	f.see(6 * time.Second)
 	scheduler := f.scheduler()
-	set := f.nodes[scheduler].set
+	set := f.nodes[scheduler].settings
 	set.Inc = 2
 	f.nodes[scheduler] = New(set, f.now)
 	other := f.other()
@@ -191,13 +191,13 @@
 	f := newPlacedFleet(t, 30, 5)
 	f.see(6 * time.Second)
 	id := f.order[7]
-	n := New(Settings{ID: id, Inc: 2, Place: f.nodes[id].set.Place, Seeds: f.nodes[id].set.Seeds, Retry: DefaultRetryRules}, f.now)
+	n := New(Settings{ID: id, Inc: 2, Place: f.nodes[id].settings.Place, Seeds: f.nodes[id].settings.Seeds, Retry: DefaultRetryRules}, f.now)
 	reads := func(d time.Duration) (count int) {
 		for end := f.now.Add(d); f.now.Before(end); {
-			f.now = f.now.Add(TickEvery)
+			f.now = f.now.Add(TickInterval)
 			n.Tick(f.now)
 			for _, o := range n.Ready(f.now) {
-				if _, is := o.(Fetch); is {
+				if _, is := o.(FetchContent); is {
 					count++
 				}
 			}
@@ -205,9 +205,9 @@
 		return count
 	}
 	n.Step(Receive{Datagram: &wire.Datagram{From: f.order[0], Inc: 1, Work: &wire.Work{Revision: 9}}}, f.now)
-	assert.Equal(t, 1, reads(fetchPatience-TickEvery))
-	n.Step(FetchEnded{}, f.now)
-	assert.Equal(t, 1, reads(fetchAgain+TickEvery), "it brought nothing")
+	assert.Equal(t, 1, reads(contentFetchTimeout-TickInterval))
+	n.Step(FetchContentEnded{}, f.now)
+	assert.Equal(t, 1, reads(contentFetchPause+TickInterval), "it brought nothing")
 }
 
 // Routers that start together before the first table read it within their place too.
@@ -215,24 +215,24 @@
 	const routers, places = 60, 5
 	f := newPlacedFleet(t, routers, places)
 	for _, id := range f.order {
-		f.nodes[id] = New(f.nodes[id].set, f.now)
+		f.nodes[id] = New(f.nodes[id].settings, f.now)
 	}
 	crossed := map[wire.NodeID]bool{}
 	f.onFetch = func(id, from wire.NodeID) {
-		if peer := f.nodes[from]; peer.cat.Table != nil && f.nodes[id].cat.Table == nil {
-			if f.nodes[id].set.Place != peer.set.Place {
+		if peer := f.nodes[from]; peer.catalogue.Table != nil && f.nodes[id].catalogue.Table == nil {
+			if f.nodes[id].settings.Place != peer.settings.Place {
 				crossed[id] = true
 			}
-			f.nodes[id].Step(Catalogue{Table: peer.cat.Table, Instances: instances(4), Revision: peer.cat.Revision, AsOf: peer.cat.AsOf}, f.now)
+			f.nodes[id].Step(Catalogue{Table: peer.catalogue.Table, Instances: instances(4), Revision: peer.catalogue.Revision, AsOf: peer.catalogue.AsOf}, f.now)
 		}
 	}
 	f.run(time.Second)
 	reader := f.order[0]
 	f.nodes[reader].Step(Catalogue{Table: table(t, 390_000), Instances: instances(4), Revision: 5, AsOf: 9}, f.now)
-	f.nodes[reader].Step(Sighted{Delta: &wire.StoreDelta{From: 0, To: 9, Table: true}}, f.now)
+	f.nodes[reader].Step(StoreRead{Delta: &wire.StoreDelta{From: 0, To: 9, Table: true}}, f.now)
 	f.run(2 * time.Second)
 	for _, id := range f.order {
-		require.NotNil(t, f.nodes[id].cat.Table, id)
+		require.NotNil(t, f.nodes[id].catalogue.Table, id)
 	}
-	assert.LessOrEqual(t, len(crossed), 2*relayCount*(places-1))
+	assert.LessOrEqual(t, len(crossed), 2*relaysPerPlace*(places-1))
 }
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -109,7 +109,7 @@
 	n.reports.due = now.Add(reportEvery)
 	n.reportAlone(now)
 	for _, p := range n.pools {
-		if p.engine == nil || n.schedulerOf(p.id, now) != n.set.ID {
+		if p.engine == nil || n.schedulerOf(p.id, now) != n.settings.ID {
 			continue
 		}
 		n.reportShares(p, now)
@@ -131,7 +131,7 @@
 		if p == nil {
 			continue
 		}
-		a, w := n.reports.alone[k], n.words.heard[k]
+		a, w := n.reports.alone[k], n.shareUpdates.heard[k]
 		age := -1
 		if !w.at.IsZero() {
 			age = int(now.Sub(w.at).Milliseconds())
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -14,12 +14,12 @@
 func TestReportsTellWhatDecisionsRestOn(t *testing.T) {
 	f, id := flooded(t)
 	sched := f.nodes[f.scheduler()]
-	sched.Step(Strained{On: false}, f.now)
+	sched.Step(CPUOverload{On: false}, f.now)
 	var shares []ShareReport
 	var believed []EngineReport
 	sched.reports.due = f.now
 	for range 50 {
-		f.now = f.now.Add(TickEvery)
+		f.now = f.now.Add(TickInterval)
 		sched.Tick(f.now)
 		for _, o := range sched.Ready(f.now) {
 			switch o := o.(type) {
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -12,16 +12,16 @@
 )
 
 // list replaces the instances that every router knows.
-func (f *fleet) list(change func(i int, born *int64)) (gone []Gone) {
+func (f *fleet) list(change func(i int, born *int64)) (gone []UpstreamGone) {
 	for _, id := range f.order {
 		list := instances(2)
 		for i := range list {
 			change(i, &list[i].Born)
 		}
 		n := f.nodes[id]
-		n.Step(Catalogue{Table: n.cat.Table, Instances: list, Revision: n.cat.Revision + 1, AsOf: n.cat.AsOf + 1}, f.now)
+		n.Step(Catalogue{Table: n.catalogue.Table, Instances: list, Revision: n.catalogue.Revision + 1, AsOf: n.catalogue.AsOf + 1}, f.now)
 		for _, o := range n.out {
-			if g, ok := o.(Gone); ok {
+			if g, ok := o.(UpstreamGone); ok {
 				gone = append(gone, g)
 			}
 		}
@@ -42,7 +42,7 @@
 	f.nodes[id].Step(First{ID: 1, After: 50 * time.Millisecond}, f.now)
 	f.deliver()
 	n := f.nodes[id]
-	old := n.pools[serviceID(engines)].ups[version.IDOf(first.Instance.Start())]
+	old := n.pools[serviceID(engines)].upstreams[version.IDOf(first.Instance.Start())]
 	require.Equal(t, 6000, keptOf(old.cache, parts))
 	gone := f.list(func(i int, born *int64) {
 		*born = 100
@@ -55,11 +55,11 @@
 	assert.Equal(t, first.Instance.Start(), gone[0].Instance.Start())
 	again := first.Instance
 	again.Born = 200
-	u := n.pools[serviceID(engines)].ups[version.IDOf(again.Start())]
+	u := n.pools[serviceID(engines)].upstreams[version.IDOf(again.Start())]
 	require.NotNil(t, u)
 	assert.Zero(t, keptOf(u.cache, parts))
 	assert.Zero(t, u.running())
-	n.Step(Kept{Instance: first.Instance.Start(), Full: true, Parts: []KeptPart{{Part: 7, Tokens: 5000}}}, f.now)
+	n.Step(CacheUpdate{Instance: first.Instance.Start(), Full: true, Parts: []PartUpdate{{Part: 7, Tokens: 5000}}}, f.now)
 	assert.Zero(t, keptOf(u.cache, parts), "a report on the former start")
 }
 
@@ -67,9 +67,9 @@
 func TestRemovedUpstreamHasNotRestarted(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	n := f.nodes[f.order[0]]
-	n.Step(Catalogue{Table: n.cat.Table, Instances: instances(1), Revision: 6, AsOf: 10}, f.now)
+	n.Step(Catalogue{Table: n.catalogue.Table, Instances: instances(1), Revision: 6, AsOf: 10}, f.now)
 	for _, o := range n.out {
-		if g, ok := o.(Gone); ok {
+		if g, ok := o.(UpstreamGone); ok {
 			assert.False(t, g.Restarted)
 		}
 	}
--- a/internal/dispatch/roundtrip.go
+++ b/internal/dispatch/roundtrip.go
@@ -29,12 +29,12 @@
 
 // giveUp is how long to wait for an answer.
 func (r *roundTrip) giveUp() time.Duration {
-	return min(max(r.mean+deviations*r.deviation, askGiveUp), askMost)
+	return min(max(r.mean+deviations*r.deviation, minPlacementTimeout), maxPlacementTimeout)
 }
 
 // again is how long to wait before an ask is repeated: until then the answer is expected.
 func (r *roundTrip) again() time.Duration {
-	return min(max(r.mean+deviations*r.deviation, askAgain), askMost)
+	return min(max(r.mean+deviations*r.deviation, minPlacementRetryDelay), maxPlacementTimeout)
 }
 
 // givenUp is an ask whose answer did not come in time.
@@ -49,30 +49,30 @@
 // patience is how long a request waits for its scheduler's answer: no longer than half
 // of what is left until its answer would be late.
 func (n *Node) patience(f *flight) time.Duration {
-	wait := n.trip.giveUp()
-	if left := f.req.Aim.Sub(f.asked) / 2; wait > left {
-		wait = max(left, askGiveUp)
+	wait := n.replyRTT.giveUp()
+	if left := f.req.TargetTime.Sub(f.asked) / 2; wait > left {
+		wait = max(left, minPlacementTimeout)
 	}
 	return wait
 }
 
 // answerTook notes the time of an answer, in time or late.
 func (n *Node) answerTook(no uint64, try uint32, f *flight, now time.Time) {
-	if late, known := n.gaveUp[no]; known && late.try == try {
-		delete(n.gaveUp, no)
-		n.trip.take(now.Sub(late.asked))
+	if late, known := n.timedOutRequests[no]; known && late.try == try {
+		delete(n.timedOutRequests, no)
+		n.replyRTT.take(now.Sub(late.asked))
 		return
 	}
 	if f != nil && f.placed == 0 && f.try == try {
-		n.trip.take(now.Sub(f.asked))
+		n.replyRTT.take(now.Sub(f.asked))
 	}
 }
 
 // expireGivenUp forgets asks whose answers will not come any more.
 func (n *Node) expireGivenUp(now time.Time) {
-	for no, g := range n.gaveUp {
+	for no, g := range n.timedOutRequests {
 		if now.Sub(g.asked) >= givenUpFor {
-			delete(n.gaveUp, no)
+			delete(n.timedOutRequests, no)
 		}
 	}
 }
--- a/internal/dispatch/scale_bench_test.go
+++ b/internal/dispatch/scale_bench_test.go
@@ -41,7 +41,7 @@
 	greet(n, now)
 	n.Ready(now)
 	for range 300 {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		n.Tick(now)
 		n.Ready(now)
 	}
@@ -74,7 +74,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for range 100 {
-			now = now.Add(TickEvery)
+			now = now.Add(TickInterval)
 			n.Tick(now)
 			n.Ready(now)
 		}
@@ -107,7 +107,7 @@
 			u := scaleUpdate(i)
 			n.Step(Receive{Datagram: &wire.Datagram{From: u.ID, Inc: 1, Updates: []wire.Update{u, scaleUpdate((i + 7) % scaleRouters)}}}, now)
 			if i%10 == 0 {
-				now = now.Add(TickEvery)
+				now = now.Add(TickInterval)
 				n.Tick(now)
 			}
 			n.Ready(now)
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -11,10 +11,10 @@
 	for _, p := range n.pools {
 		for _, u := range p.order {
 			s := UpstreamState{Service: p.service, ID: u.inst.ID, Address: u.inst.Address, Place: u.inst.Place, Draining: u.inst.Draining,
-				InUse: u.inUse != notInUse, Running: u.running(), Slow: u.slowness(p.learner.Model(), now), Resting: u.rest.resting(now), BackoffMS: int(leftMS(p.backoffs[u.id], now)), Evacuated: u.evacuated}
+				InUse: u.inUse != notInUse, Running: u.running(), Slow: u.slowness(p.learner.Model(), now), Resting: u.ejection.resting(now), BackoffMS: int(leftMS(p.backoffs[u.id], now)), Evacuated: u.evacuated}
 			if p.isCold(u, now) {
 				until, why := u.coldUntil()
-				s.Cold = &ColdUpstream{ForMS: int(until.Sub(now).Milliseconds()), Why: why.String(), Allowed: n.coldMost(p, now), Placed: len(u.cold.placed)}
+				s.Cold = &ColdUpstream{ForMS: int(until.Sub(now).Milliseconds()), Why: why.String(), Allowed: n.coldLimit(p, now), Placed: len(u.cold.placed)}
 			}
 			if u.cache != nil {
 				s.BacklogMS = int(u.backlog(p.learner.Model(), now))
@@ -38,7 +38,7 @@
 func (n *Node) Role(now time.Time) Role {
 	r := Role{Relays: n.isRelay(now), ReadsStore: n.Watches(now)}
 	for _, p := range n.pools {
-		if n.schedulerOf(p.id, now) == n.set.ID {
+		if n.schedulerOf(p.id, now) == n.settings.ID {
 			r.Schedules = append(r.Schedules, p.service)
 		}
 	}
--- a/internal/dispatch/store_test.go
+++ b/internal/dispatch/store_test.go
@@ -16,7 +16,7 @@
 	for end := f.now.Add(d); f.now.Before(end); {
 		for _, id := range f.order {
 			if !f.cut[id] && f.nodes[id].Watches(f.now) {
-				f.nodes[id].Step(Sighted{}, f.now)
+				f.nodes[id].Step(StoreRead{}, f.now)
 			}
 		}
 		f.run(time.Second)
@@ -35,10 +35,10 @@
 func TestFewRoutersOfALargeFleetWatch(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	f.see(10 * time.Second)
-	assert.Len(t, f.watching(), watchers)
-	small := newFleet(t, watchers, 2)
+	assert.Len(t, f.watching(), watcherCount)
+	small := newFleet(t, watcherCount, 2)
 	small.see(5 * time.Second)
-	assert.Len(t, small.watching(), watchers, "in a small fleet all do")
+	assert.Len(t, small.watching(), watcherCount, "in a small fleet all do")
 }
 
 func TestWatchersThatDieAreReplaced(t *testing.T) {
@@ -55,7 +55,7 @@
 			n++
 		}
 	}
-	assert.GreaterOrEqual(t, n, watchers)
+	assert.GreaterOrEqual(t, n, watcherCount)
 	assert.Less(t, n, 15)
 }
 
@@ -75,20 +75,20 @@
 		return f.nodes[b].Ready(f.now)
 	}
 	d := &wire.StoreDelta{From: 9, To: 12, Removed: []string{"e0"}}
-	require.Contains(t, outs(d), Apply{From: a, Delta: d})
+	require.Contains(t, outs(d), ApplyDelta{From: a, Delta: d})
 	old := &wire.StoreDelta{From: 3, To: 9}
-	assert.NotContains(t, outs(old), Apply{From: a, Delta: old}, "nothing new")
+	assert.NotContains(t, outs(old), ApplyDelta{From: a, Delta: old}, "nothing new")
 	gap := &wire.StoreDelta{From: 30, To: 31}
-	assert.NotContains(t, outs(gap), Apply{From: a, Delta: gap}, "changes between are missing")
-	assert.Equal(t, uint64(31), f.nodes[b].ahead[a].revision, "it is fetched whole")
+	assert.NotContains(t, outs(gap), ApplyDelta{From: a, Delta: gap}, "changes between are missing")
+	assert.Equal(t, uint64(31), f.nodes[b].newerContent[a].revision, "it is fetched whole")
 	withTable := &wire.StoreDelta{From: 9, To: 40, Table: true}
-	assert.NotContains(t, outs(withTable), Apply{From: a, Delta: withTable})
-	assert.Equal(t, uint64(40), f.nodes[b].ahead[a].revision)
+	assert.NotContains(t, outs(withTable), ApplyDelta{From: a, Delta: withTable})
+	assert.Equal(t, uint64(40), f.nodes[b].newerContent[a].revision)
 }
 
 func TestEveryRouterIsToldOfAChange(t *testing.T) {
 	f := newFleet(t, 4, 2)
-	f.nodes[f.order[0]].Step(Sighted{Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
+	f.nodes[f.order[0]].Step(StoreRead{Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
 	told := map[wire.NodeID]bool{}
 	for _, o := range f.nodes[f.order[0]].Ready(f.now) {
 		if s, ok := o.(Send); ok && s.Datagram.Work != nil && s.Datagram.Work.Delta != nil {
@@ -149,9 +149,9 @@
 				switch {
 				case !f.nodes[id].Watches(f.now):
 				case away[id]:
-					f.nodes[id].Step(Unsighted{}, f.now)
+					f.nodes[id].Step(StoreUnreachable{}, f.now)
 				default:
-					f.nodes[id].Step(Sighted{}, f.now)
+					f.nodes[id].Step(StoreRead{}, f.now)
 				}
 			}
 		}
@@ -163,10 +163,10 @@
 			others++
 		}
 	}
-	assert.Equal(t, watchers, others)
+	assert.Equal(t, watcherCount, others)
 	clear(away)
-	look(blindFor + 4*time.Second)
-	assert.Len(t, f.watching(), watchers)
+	look(storeUnreachableTTL + 4*time.Second)
+	assert.Len(t, f.watching(), watcherCount)
 }
 
 // What is missing after an outage may have lapsed in it. Routers that did not watch
@@ -174,7 +174,7 @@
 func TestReturnOfTheStoreIsTold(t *testing.T) {
 	f := newFleet(t, 8, 2)
 	f.see(5 * time.Second)
-	f.nodes[f.order[0]].Step(Sighted{Back: true, Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
+	f.nodes[f.order[0]].Step(StoreRead{Recovered: true, Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
 	for _, id := range f.order[1:] {
 		f.nodes[id].Ready(f.now)
 	}
@@ -190,9 +190,9 @@
 		back, apply := -1, -1
 		for i, o := range outs {
 			switch o.(type) {
-			case StoreBack:
+			case StoreRecovered:
 				back = i
-			case Apply:
+			case ApplyDelta:
 				apply = i
 			}
 		}
@@ -207,7 +207,7 @@
 	f := newFleet(t, 3, 2)
 	newer, id := f.order[0], f.order[1]
 	b := routing.Builder{Number: 2}
-	for _, s := range f.nodes[newer].cat.Table.Services {
+	for _, s := range f.nodes[newer].catalogue.Table.Services {
 		b.Services = append(b.Services, s)
 	}
 	tab, err := b.Build()
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -19,18 +19,18 @@
 // nearly as often.
 
 const (
-	// inheritAgain is how long after an unanswered read another heir is asked.
-	inheritAgain = 300 * time.Millisecond
-	// inheritTries bounds the reads: after the window nothing of it is worth having.
-	inheritTries = int(shareSteps * shareStep / inheritAgain)
+	// snapshotFetchInterval is how long after an unanswered read another heir is asked.
+	snapshotFetchInterval = 300 * time.Millisecond
+	// maxSnapshotFetches bounds the reads: after the window nothing of it is worth having.
+	maxSnapshotFetches = int(shareSteps * shareStep / snapshotFetchInterval)
 )
 
 // inheritance is how far a router has come to know what an heir of a service knows.
-type inheritance struct {
-	heir  bool
-	done  bool
-	tries int
-	due   time.Time
+type takeoverState struct {
+	inGroup  bool
+	done     bool
+	attempts int
+	due      time.Time
 }
 
 // FetchSnapshot asks the driver to read the state of a service's scheduler from an heir.
@@ -40,36 +40,36 @@
 }
 
 // Inherit is a state that was read from an heir.
-type Inherit struct {
+type SnapshotFetched struct {
 	From     wire.NodeID
 	Snapshot *wire.Snapshot
 }
 
-func (FetchSnapshot) output() {}
-func (Inherit) input()        {}
+func (FetchSnapshot) output()  {}
+func (SnapshotFetched) input() {}
 
-// tickInherit asks for the states that this router, as an heir, does not know.
-func (n *Node) tickInherit(now time.Time) {
+// tickTakeover asks for the states that this router, as an heir, does not know.
+func (n *Node) tickTakeover(now time.Time) {
 	for _, p := range n.pools {
 		if p.engine == nil {
 			continue
 		}
-		heirs := n.heirsOf(p.id, now)
-		h := &p.inherited
-		if !slices.Contains(heirs, n.set.ID) {
-			*h = inheritance{}
+		heirs := n.schedulerGroup(p.id, now)
+		h := &p.takeover
+		if !slices.Contains(heirs, n.settings.ID) {
+			*h = takeoverState{}
 			continue
 		}
-		if !h.heir {
-			*h = inheritance{heir: true, due: now}
+		if !h.inGroup {
+			*h = takeoverState{inGroup: true, due: now}
 		}
-		others := n.others(heirs)
-		if h.done || len(others) == 0 || h.tries >= inheritTries || now.Before(h.due) {
+		others := n.otherRouters(heirs)
+		if h.done || len(others) == 0 || h.attempts >= maxSnapshotFetches || now.Before(h.due) {
 			continue
 		}
-		n.out = append(n.out, FetchSnapshot{From: others[h.tries%len(others)], Service: p.service})
-		h.tries++
-		h.due = now.Add(inheritAgain)
+		n.out = append(n.out, FetchSnapshot{From: others[h.attempts%len(others)], Service: p.service})
+		h.attempts++
+		h.due = now.Add(snapshotFetchInterval)
 	}
 }
 
@@ -78,7 +78,7 @@
 func (n *Node) Snapshot(asker wire.NodeID, now time.Time) *wire.Snapshot {
 	out := &wire.Snapshot{}
 	for _, p := range n.pools {
-		if p.engine == nil || !p.inherited.heir {
+		if p.engine == nil || !p.takeover.inGroup {
 			continue
 		}
 		out.Services = append(out.Services, p.snapshot(now))
@@ -91,27 +91,27 @@
 func (p *pool) snapshot(now time.Time) wire.ServiceSnapshot {
 	s := wire.ServiceSnapshot{Service: p.id, Orgs: p.meter.window(now), Model: p.learned()}
 	for _, u := range p.order {
-		if u.cache.used == 0 && !u.rest.resting(now) {
+		if u.cache.used == 0 && !u.ejection.resting(now) {
 			continue // nothing is known of it
 		}
-		s.Engines = append(s.Engines, wire.EngineSnapshot{Upstream: u.id, RestMS: leftMS(u.rest.until, now), Kept: u.cache.list()})
+		s.Engines = append(s.Engines, wire.EngineSnapshot{Upstream: u.id, RestMS: leftMS(u.ejection.until, now), Kept: u.cache.list()})
 	}
 	return s
 }
 
 // inherit takes a state that was read from an heir.
-func (n *Node) inherit(in Inherit, now time.Time) {
+func (n *Node) applySnapshot(in SnapshotFetched, now time.Time) {
 	for _, s := range in.Snapshot.Services {
 		p := n.pools[s.Service]
-		if p == nil || p.engine == nil || p.inherited.done {
+		if p == nil || p.engine == nil || p.takeover.done {
 			continue
 		}
-		p.inherited.done = true
-		p.meter.inherit(s.Orgs, now)
+		p.takeover.done = true
+		p.meter.applySnapshot(s.Orgs, now)
 		n.heardModels([]wire.PrefillModel{s.Model})
 		for _, e := range s.Engines {
-			if u := p.ups[e.Upstream]; u != nil {
-				u.inherit(e, now)
+			if u := p.upstreams[e.Upstream]; u != nil {
+				u.applySnapshot(e, now)
 			}
 		}
 		n.event(Event{Name: "snapshot-inherited", Router: in.From, Value: uint64(len(s.Orgs)), Detail: "organisations at " + p.service})
@@ -137,7 +137,7 @@
 
 // inherit takes another meter's window. Where both know of a step the larger one counts:
 // what this router placed since it was asked for work is in its own alone.
-func (m *meter) inherit(rows []wire.OrgWindow, now time.Time) {
+func (m *meter) applySnapshot(rows []wire.OrgWindow, now time.Time) {
 	m.advance(now)
 	for _, r := range rows {
 		u := m.of(r.Org)
@@ -163,7 +163,7 @@
 }
 
 // inherit takes another router's belief of an engine where this one has none.
-func (u *upstream) inherit(e wire.EngineSnapshot, now time.Time) {
+func (u *upstream) applySnapshot(e wire.EngineSnapshot, now time.Time) {
 	u.touch(now)
 	for _, k := range slices.Backward(e.Kept) {
 		if u.cache.parts[k.Part] == nil {
@@ -171,8 +171,8 @@
 		}
 	}
 	u.fit(now)
-	if until := now.Add(min(time.Duration(e.RestMS)*time.Millisecond, maxRest)); until.After(u.rest.until) {
-		u.rest.until = until
+	if until := now.Add(min(time.Duration(e.RestMS)*time.Millisecond, maxRest)); until.After(u.ejection.until) {
+		u.ejection.until = until
 	}
 }
 
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -23,23 +23,23 @@
 	f.cut[first] = true
 	f.run(5 * time.Second)
 	next := f.nodes[f.nodes[other].ranked(p, f.now)[0]]
-	require.NotEqual(t, first, next.set.ID)
+	require.NotEqual(t, first, next.settings.ID)
 	part := wire.PromptPart{Part: 77, Tokens: 3000}
 	flood := version.IDOf("flood")
-	f.arrive(next.set.ID, 1, engines, "flood", 3000, part)
-	u := next.pools[p].runs[runKey{next.set.ID, 1}].up
+	f.arrive(next.settings.ID, 1, engines, "flood", 3000, part)
+	u := next.pools[p].runs[runKey{next.settings.ID, 1}].up
 	next.pools[p].meter.ask(flood, 5_000_000, f.now)
 	next.pools[p].meter.grant(flood, 2_000_000, f.now)
 	f.cut[first] = false
 	f.restart(first)
-	for f.nodes[next.set.ID].schedulerOf(p, f.now) != first {
-		f.run(TickEvery)
+	for f.nodes[next.settings.ID].schedulerOf(p, f.now) != first {
+		f.run(TickInterval)
 	}
-	f.run(2 * TickEvery)
+	f.run(2 * TickInterval)
 	got := f.nodes[first].pools[p]
 	assert.Greater(t, got.meter.over(flood, f.now), 1.0)
 	assert.InDelta(t, total(&next.pools[p].meter.at(flood, f.now).got), total(&got.meter.at(flood, f.now).got), 1)
-	assert.Equal(t, 3000, keptOf(got.ups[u.id].cache, []wire.PromptPart{part}))
+	assert.Equal(t, 3000, keptOf(got.upstreams[u.id].cache, []wire.PromptPart{part}))
 	f.run(2 * bookedEvery)
 	assert.InDelta(t, 2_000_000, total(&got.meter.at(flood, f.now).got), 5000, "what was told with the snapshot is not told again")
 }
@@ -54,15 +54,15 @@
 	f.run(5 * time.Second)
 	f.cut[heir] = false
 	f.restart(heir)
-	for f.nodes[heir].pools[p].inherited.tries == 0 || sched.bookedDue.Sub(f.now) < 100*time.Millisecond {
-		f.nodes[heir].pools[p].inherited = inheritance{}
-		f.run(TickEvery)
+	for f.nodes[heir].pools[p].takeover.attempts == 0 || sched.recordedUsageDue.Sub(f.now) < 100*time.Millisecond {
+		f.nodes[heir].pools[p].takeover = takeoverState{}
+		f.run(TickInterval)
 	}
-	f.nodes[heir].pools[p].inherited = inheritance{}
+	f.nodes[heir].pools[p].takeover = takeoverState{}
 	sched.pools[p].meter.ask(7, 9000, f.now)
 	sched.pools[p].meter.grant(7, 9000, f.now)
-	f.run(2 * TickEvery)
-	require.True(t, f.nodes[heir].pools[p].inherited.done)
+	f.run(2 * TickInterval)
+	require.True(t, f.nodes[heir].pools[p].takeover.done)
 	f.run(bookedEvery)
 	assert.InDelta(t, 9000, total(&f.nodes[heir].pools[p].meter.at(7, f.now).got), 1)
 }
@@ -72,11 +72,11 @@
 	f := newFleet(t, 5, 2)
 	p := serviceID(engines)
 	n := f.nodes[f.nodes[f.order[0]].ranked(p, f.now)[0]]
-	h := &n.pools[p].inherited
+	h := &n.pools[p].takeover
 	ask := func(ticks int) map[wire.NodeID]int {
 		asked := map[wire.NodeID]int{}
 		for range ticks {
-			f.now = f.now.Add(TickEvery)
+			f.now = f.now.Add(TickInterval)
 			n.Tick(f.now)
 			for _, o := range n.Ready(f.now) {
 				if s, ok := o.(FetchSnapshot); ok {
@@ -86,22 +86,22 @@
 		}
 		return asked
 	}
-	*h = inheritance{}
-	assert.Len(t, ask(2*int(inheritAgain/TickEvery)), heirCount-1)
-	h.tries = inheritTries
-	assert.Empty(t, ask(2*int(inheritAgain/TickEvery)))
+	*h = takeoverState{}
+	assert.Len(t, ask(2*int(snapshotFetchInterval/TickInterval)), schedulerGroupSize-1)
+	h.attempts = maxSnapshotFetches
+	assert.Empty(t, ask(2*int(snapshotFetchInterval/TickInterval)))
 }
 
 // A peer's figures that are none, and windows that are too short or too long, do no harm.
 func TestNonsenseInASnapshotIsNotBelieved(t *testing.T) {
 	m := newMeter(1000)
 	nan := float32(math.NaN())
-	m.inherit([]wire.OrgWindow{
+	m.applySnapshot([]wire.OrgWindow{
 		{Org: 1, Asked: []float32{nan, -5, float32(math.Inf(1)), 7}, Got: make([]float32, 100)},
 		{Org: 2},
 	}, start)
 	assert.Equal(t, 7.0, total(&m.at(1, start).asked))
 	assert.Zero(t, total(&m.at(1, start).got))
 	f := newFleet(t, 3, 1)
-	f.nodes[f.order[0]].Step(Inherit{Snapshot: &wire.Snapshot{Services: []wire.ServiceSnapshot{{Service: 99}, {Service: serviceID(counter)}}}}, f.now)
+	f.nodes[f.order[0]].Step(SnapshotFetched{Snapshot: &wire.Snapshot{Services: []wire.ServiceSnapshot{{Service: 99}, {Service: serviceID(counter)}}}}, f.now)
 }
--- a/internal/dispatch/unasked.go
+++ b/internal/dispatch/unasked.go
@@ -35,13 +35,13 @@
 }
 
 // turned takes what was refused at the door.
-func (n *Node) turned(in Turned, now time.Time) {
+func (n *Node) turned(in LoadShed, now time.Time) {
 	for _, t := range in.Work {
 		k := orgAt{serviceID(t.Service), version.IDOf(t.Org)}
 		if p := n.pools[k.service]; p != nil {
 			p.here.ask(k.org, t.Tokens, now)
 		}
-		n.unasked.add(k, t.Tokens, 0)
+		n.unreportedUsage.add(k, t.Tokens, 0)
 		n.reports.countTurned(k, t.Tokens)
 	}
 }
@@ -49,7 +49,7 @@
 // countUnasked notes a decision made here though another router is the scheduler. It
 // reports whether that one is told.
 func (n *Node) countUnasked(p *pool, a *wire.WorkAsk, placed bool, now time.Time) bool {
-	if p.engine == nil || n.schedulerOf(p.id, now) == n.set.ID {
+	if p.engine == nil || n.schedulerOf(p.id, now) == n.settings.ID {
 		return false // no shares, or it is this router that counts them
 	}
 	tokens := Cost(int(a.Input), int(a.Output))
@@ -62,37 +62,37 @@
 		got = tokens
 	}
 	k := orgAt{p.id, a.Org}
-	n.unasked.add(k, wanted, got)
+	n.unreportedUsage.add(k, wanted, got)
 	n.reports.countAlone(k, tokens, placed)
 	if placed {
-		n.Counts.OwnPlaced++
+		n.Counts.LocalPlacements++
 	}
 	return true
 }
 
 // tickUnasked tells the schedulers.
 func (n *Node) tickUnasked(now time.Time) {
-	if now.Before(n.unasked.due) {
+	if now.Before(n.unreportedUsage.due) {
 		return
 	}
-	n.unasked.due = now.Add(unaskedEvery)
-	n.words.expire(now)
+	n.unreportedUsage.due = now.Add(unaskedEvery)
+	n.shareUpdates.expire(now)
 	n.expireGivenUp(now)
-	for k, s := range n.unasked.sums {
+	for k, s := range n.unreportedUsage.sums {
 		p := n.pools[k.service]
 		if p == nil || p.engine == nil {
 			continue
 		}
 		u := wire.Unasked{Service: k.service, Org: k.org, Wanted: int64(s.wanted), Placed: int64(s.placed)}
 		to := n.schedulerOf(p.id, now)
-		if to == n.set.ID {
-			n.heardUnasked(n.set.ID, u, now)
+		if to == n.settings.ID {
+			n.heardUnasked(n.settings.ID, u, now)
 			continue
 		}
 		w := n.work(to)
 		w.Unasked = append(w.Unasked, u)
 	}
-	clear(n.unasked.sums)
+	clear(n.unreportedUsage.sums)
 }
 
 // heardUnasked counts what a router decided without asking. One that took this router for
@@ -106,7 +106,7 @@
 	p.meter.ask(u.Org, float64(u.Wanted), now)
 	p.meter.grant(u.Org, float64(u.Placed), now)
 	p.meter.booked.addOwn(from, u.Org, float64(u.Wanted), float64(u.Placed))
-	if to := n.schedulerOf(p.id, now); to != n.set.ID && to != from {
-		n.unasked.add(orgAt{p.id, u.Org}, float64(u.Wanted), float64(u.Placed))
+	if to := n.schedulerOf(p.id, now); to != n.settings.ID && to != from {
+		n.unreportedUsage.add(orgAt{p.id, u.Org}, float64(u.Wanted), float64(u.Placed))
 	}
 }
--- a/internal/dispatch/unasked_test.go
+++ b/internal/dispatch/unasked_test.go
@@ -21,10 +21,10 @@
 	p.meter.ask(2, window, f.now) // another one asks for everything there is
 	p.meter.grant(2, window, f.now)
 	assert.InDelta(t, 1, p.meter.over(2, f.now), 0.01)
-	f.nodes[f.other()].Step(Turned{Work: []TurnedWork{{Service: engines, Org: "shed", Tokens: window}}}, f.now)
+	f.nodes[f.other()].Step(LoadShed{Work: []ShedWork{{Service: engines, Org: "shed", Tokens: window}}}, f.now)
 	f.run(2 * unaskedEvery)
 	assert.InDelta(t, 2, p.meter.over(2, f.now), 0.1, "half of it is the other's share")
-	f.nodes[f.other()].Step(Turned{Work: []TurnedWork{{Service: counter, Org: "shed", Tokens: 1}, {Service: "unknown", Org: "shed", Tokens: 1}}}, f.now)
+	f.nodes[f.other()].Step(LoadShed{Work: []ShedWork{{Service: counter, Org: "shed", Tokens: 1}, {Service: "unknown", Org: "shed", Tokens: 1}}}, f.now)
 	f.run(2 * unaskedEvery) // plain and unknown services have no shares
 }
 
@@ -45,7 +45,7 @@
 	f.cut[f.scheduler()] = true
 	f.arrive(id, 2, engines, "flood", 4000)
 	f.arrive(id, 3, engines, "small", 4000)
-	f.run(askGiveUp + 3*TickEvery)
+	f.run(minPlacementTimeout + 3*TickInterval)
 	r, refused := f.got[id][2].(Refuse)
 	require.True(t, refused, "%#v", f.got[id][2])
 	assert.Equal(t, ReasonCapacity, r.Reason)
@@ -53,7 +53,7 @@
 	assert.Equal(t, id, f.placed(id, 3).By, "an organisation that has not had its share is served")
 	f.run(wordFor)
 	f.arrive(id, 4, engines, "flood", 4000)
-	f.run(askGiveUp + 3*TickEvery)
+	f.run(minPlacementTimeout + 3*TickInterval)
 	f.placed(id, 4) // an old word does not hold for ever
 }
 
@@ -63,7 +63,7 @@
 	id, sched := f.other(), f.scheduler()
 	f.cut[sched] = true
 	f.arrive(id, 1, engines, "own", 4000)
-	f.run(askGiveUp + 3*TickEvery)
+	f.run(minPlacementTimeout + 3*TickInterval)
 	f.placed(id, 1)
 	delete(f.cut, sched)
 	f.run(2 * unaskedEvery)
--- a/internal/dispatch/alone_test.go
+++ b/internal/dispatch/unknown_fleet_test.go
@@ -18,9 +18,9 @@
 	for i := range 40 {
 		n := New(Settings{ID: wire.NodeID(fmt.Sprintf("10.1.0.%d:1", i)), Inc: 2, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: DefaultRetryRules}, start)
 		n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(10), Revision: 5, AsOf: 9}, start)
-		n.Step(Arrive{Request: Request{ID: 1, Service: engines, Org: "a", Input: 9000, Output: 50, Aim: start.Add(600 * time.Millisecond), Deadline: start.Add(6 * time.Second)}}, start)
+		n.Step(Arrive{Request: Request{ID: 1, Service: engines, Org: "a", Input: 9000, Output: 50, TargetTime: start.Add(600 * time.Millisecond), Deadline: start.Add(6 * time.Second)}}, start)
 		for _, o := range n.Ready(start) {
-			if p, ok := o.(Place); ok {
+			if p, ok := o.(Placement); ok {
 				got[p.Instance.ID]++
 			}
 		}
@@ -39,7 +39,7 @@
 	f := newFleet(t, 3, 4)
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
 	f.arrive(f.scheduler(), 1, engines, "a", 2000)
-	assert.False(t, p.alone)
+	assert.False(t, p.withoutScheduler)
 	assert.Equal(t, p.order[0].inst.ID, f.placed(f.scheduler(), 1).Instance.ID)
 }
 
@@ -48,9 +48,9 @@
 func TestRouterThatKnowsNoFleetAsksNoEngines(t *testing.T) {
 	n := New(Settings{ID: "10.1.0.9:1", Inc: 2, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: DefaultRetryRules}, start)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(4), Revision: 5, AsOf: 9}, start)
-	assert.Empty(t, n.Scheduled(start))
-	require.Len(t, n.Scheduled(start.Add(aloneFor)), 4, "it is the whole fleet")
+	assert.Empty(t, n.ScheduledEngines(start))
+	require.Len(t, n.ScheduledEngines(start.Add(loneRouterTimeout)), 4, "it is the whole fleet")
 	n.Step(Receive{Datagram: &wire.Datagram{From: "10.1.0.8:1", Inc: 1}}, start)
 	n.members.Leave() // so that the other one schedules
-	assert.Empty(t, n.Scheduled(start))
+	assert.Empty(t, n.ScheduledEngines(start))
 }
--- a/internal/dispatch/word.go
+++ b/internal/dispatch/word.go
@@ -55,14 +55,14 @@
 // tellWord tells a router how an organisation stands, unless it was told just now. Only
 // the scheduler has a word: another router that is asked in its place says nothing.
 func (n *Node) tellWord(to wire.NodeID, p *pool, org version.ID, now time.Time) {
-	if p.engine == nil || n.schedulerOf(p.id, now) != n.set.ID {
+	if p.engine == nil || n.schedulerOf(p.id, now) != n.settings.ID {
 		return
 	}
 	k := wordKey{to, orgAt{p.id, org}}
-	if now.Sub(n.words.told[k]) < wordEvery {
+	if now.Sub(n.shareUpdates.told[k]) < wordEvery {
 		return
 	}
-	n.words.told[k] = now
+	n.shareUpdates.told[k] = now
 	over := p.meter.over(org, now)
 	w := n.work(to)
 	w.Words = append(w.Words, wire.ShareWord{
@@ -80,7 +80,7 @@
 // heardWords keeps what the scheduler says, also in answers that come too late.
 func (n *Node) heardWords(list []wire.ShareWord, now time.Time) {
 	for _, w := range list {
-		n.words.heard[orgAt{w.Service, w.Org}] = heardWord{w, now}
+		n.shareUpdates.heard[orgAt{w.Service, w.Org}] = heardWord{w, now}
 	}
 }
 
@@ -106,7 +106,7 @@
 	if allowed := n.allowance(p, org, now); allowed > 0 {
 		over = total(&p.here.at(org, now).got) / allowed
 	}
-	if w := n.words.heard[orgAt{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < wordFor {
+	if w := n.shareUpdates.heard[orgAt{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < wordFor {
 		over = max(over, float64(w.Over)/100)
 	}
 	return over
@@ -116,7 +116,7 @@
 // the scheduler, 0 for no bound: what is asked here of the organisation's share, by the
 // scheduler's last word; an even part of the capacity where there was none.
 func (n *Node) allowance(p *pool, org version.ID, now time.Time) float64 {
-	w := n.words.heard[orgAt{p.id, org}]
+	w := n.shareUpdates.heard[orgAt{p.id, org}]
 	if w.at.IsZero() {
 		return p.here.capacity / float64(max(1, len(n.reports.names)))
 	}
--- a/internal/dispatch/word_test.go
+++ b/internal/dispatch/word_test.go
@@ -24,7 +24,7 @@
 	p.meter.ask(version.IDOf("rival"), window, f.now)
 	p.meter.ask(version.IDOf("flood"), 2*window, f.now)
 	f.arrive(id, 1, engines, "flood", 4000)
-	require.NotZero(t, f.nodes[id].words.heard[orgAt{serviceID(engines), version.IDOf("flood")}].Share)
+	require.NotZero(t, f.nodes[id].shareUpdates.heard[orgAt{serviceID(engines), version.IDOf("flood")}].Share)
 	return f, id
 }
 
@@ -36,10 +36,10 @@
 	no := from
 	for end := f.now.Add(d); f.now.Before(end); no++ {
 		f.arrive(id, no, engines, "flood", 4000)
-		f.run(TickEvery)
+		f.run(TickInterval)
 	}
 	for ; no > from; no-- {
-		if _, ok := f.got[id][no].(Place); ok {
+		if _, ok := f.got[id][no].(Placement); ok {
 			placed += Cost(4000, 50)
 		}
 	}
@@ -52,7 +52,7 @@
 	f, id := flooded(t)
 	f.cut[id] = true
 	f.run(wordFor)
-	share := float64(f.nodes[id].words.heard[orgAt{serviceID(engines), version.IDOf("flood")}].Share)
+	share := float64(f.nodes[id].shareUpdates.heard[orgAt{serviceID(engines), version.IDOf("flood")}].Share)
 	placed := f.pour(id, 10, 4*time.Second)
 	assert.Less(t, placed, 1.2*share)
 	assert.Greater(t, placed, 0.05*share, "nor is everything refused")
@@ -94,7 +94,7 @@
 	f.now = f.now.Add(wordFor)
 	assert.Zero(t, n.aloneOver(n.pools[serviceID(engines)], 7, f.now))
 	f.run(shareFor)
-	assert.Empty(t, n.words.heard, "it is forgotten in the end")
+	assert.Empty(t, n.shareUpdates.heard, "it is forgotten in the end")
 }
 
 // Who was asked in place of a scheduler that seemed silent knew of nothing, and said that
@@ -117,7 +117,7 @@
 			assert.Empty(t, s.Datagram.Work.Words)
 		}
 	}
-	assert.NotEmpty(t, f.nodes[third].unasked.sums, "what it placed is told to the scheduler")
+	assert.NotEmpty(t, f.nodes[third].unreportedUsage.sums, "what it placed is told to the scheduler")
 }
 
 // Who was asked in place of the scheduler gave what seemed left over, 428 requests of one
@@ -141,7 +141,7 @@
 	}
 	require.NotZero(t, ask(1).Upstream)
 	heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Notes: []wire.WorkNote{{No: 1, Event: wire.NoteUnused}}}}}, f.now)
-	sum := heir.unasked.sums[orgAt{p.id, 7}]
+	sum := heir.unreportedUsage.sums[orgAt{p.id, 7}]
 	assert.InDelta(t, 0, sum.placed, 0.1, "what was placed and what came back")
 	own.meter.ask(8, 2*window, f.now)
 	own.meter.ask(7, 2*window, f.now)
@@ -164,7 +164,7 @@
 	own := heir.pools[p.id].meter
 	own.ask(8, 9000, f.now)
 	own.grant(8, 9000, f.now)
-	heir.unasked.add(orgAt{p.id, 8}, 9000, 9000)
+	heir.unreportedUsage.add(orgAt{p.id, 8}, 9000, 9000)
 	f.run(2 * bookedEvery)
 	assert.InDelta(t, 50_000, total(&own.at(7, f.now).asked), 1)
 	assert.InDelta(t, 20_000, total(&own.at(7, f.now).got), 1)
@@ -188,7 +188,7 @@
 
 	f.cut[f.scheduler()] = true
 	f.arrive(id, 2, engines, "unlucky", 4000)
-	f.run(askGiveUp + 3*TickEvery)
+	f.run(minPlacementTimeout + 3*TickInterval)
 	f.placed(id, 2)
 	delete(f.cut, f.scheduler())
 	f.run(2 * unaskedEvery)
--- a/internal/dispatch/workingset.go
+++ b/internal/dispatch/workingset.go
@@ -59,7 +59,7 @@
 
 // touch notes that an upstream is used.
 func (u *upstream) touch(now time.Time) {
-	u.used = now
+	u.lastUsed = now
 	if u.inUse != notInUse || u.set == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 // shrink takes those out of the working set that had no work for long.
 func (s *placeSet) shrink(now time.Time) {
 	for i := len(s.inUse) - 1; i >= 0; i-- {
-		if u := s.inUse[i]; u.running() == 0 && now.Sub(u.used) >= unusedFor {
+		if u := s.inUse[i]; u.running() == 0 && now.Sub(u.lastUsed) >= unusedFor {
 			s.leave(u)
 		}
 	}
--- a/internal/dispatch/workingset_test.go
+++ b/internal/dispatch/workingset_test.go
@@ -184,7 +184,7 @@
 	c.ends = nil
 	c.load(400, 500, time.Second)
 	assert.Zero(t, c.refused)
-	c.p.evacuate(map[string]bool{"p0": true}, c.now)
+	c.p.setEvacuated(map[string]bool{"p0": true}, c.now)
 	c.load(400, 500, time.Second)
 	assert.Zero(t, c.refused)
 }
--- a/internal/lab/tokens/callers.go
+++ b/internal/lab/tokens/callers.go
@@ -63,7 +63,7 @@
 	}
 	k := &call{class: c, org: org, parts: parts, arrived: w.now}
 	k.req = dispatch.Request{Service: serviceName, Org: orgName(org), Output: 1 + int(w.logNormal(c.output, 0.7, 5*c.output)),
-		Aim: w.now.Add(c.target), Deadline: w.now.Add(c.deadline)}
+		TargetTime: w.now.Add(c.target), Deadline: w.now.Add(c.deadline)}
 	for _, p := range parts {
 		k.req.Input += p.Tokens
 		k.req.Parts = append(k.req.Parts, wire.PromptPart{Part: p.ID, Tokens: uint32(p.Tokens)})
--- a/internal/lab/tokens/calls.go
+++ b/internal/lab/tokens/calls.go
@@ -24,7 +24,7 @@
 	engine  string
 }
 
-func (w *world) place(o dispatch.Place) {
+func (w *world) place(o dispatch.Placement) {
 	c := w.calls[o.ID]
 	if c == nil || w.nodes[c.router] == nil {
 		return
@@ -43,7 +43,7 @@
 		return
 	}
 	c.sent, c.engine = w.now, o.Instance.ID
-	c.expect = float64(o.WaitMS + o.OwnMS)
+	c.expect = float64(o.WaitMS + o.PrefillMS)
 }
 
 func indexOf(list []string, s string) int {
--- a/internal/lab/tokens/door.go
+++ b/internal/lab/tokens/door.go
@@ -58,12 +58,12 @@
 	if age%turnedEvery != 0 || len(w.door.turned) == 0 {
 		return
 	}
-	var work []dispatch.TurnedWork
+	var work []dispatch.ShedWork
 	for i := range weights {
 		if tokens := w.door.turned[orgName(i)]; tokens > 0 {
-			work = append(work, dispatch.TurnedWork{Service: serviceName, Org: orgName(i), Tokens: tokens})
+			work = append(work, dispatch.ShedWork{Service: serviceName, Org: orgName(i), Tokens: tokens})
 		}
 	}
 	clear(w.door.turned)
-	n.Step(dispatch.Turned{Work: work}, w.now)
+	n.Step(dispatch.LoadShed{Work: work}, w.now)
 }
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -222,7 +222,7 @@
 	w.catchUp()
 	w.advanceEngines()
 	w.deliver()
-	tick := w.now.Sub(begin)%dispatch.TickEvery == 0
+	tick := w.now.Sub(begin)%dispatch.TickInterval == 0
 	for _, id := range w.order {
 		n := w.nodes[id]
 		if n == nil {
@@ -241,7 +241,7 @@
 		return
 	}
 	for _, id := range w.order {
-		if n := w.nodes[id]; n != nil && len(n.Scheduled(w.now)) > 0 {
+		if n := w.nodes[id]; n != nil && len(n.ScheduledEngines(w.now)) > 0 {
 			delete(w.nodes, id)
 			return
 		}
@@ -259,7 +259,7 @@
 			w.bytes += len(raw) + sealed
 			o.Datagram.From = id
 			w.mail = append(w.mail, mail{w.now.Add(hop), o.To, o.Datagram})
-		case dispatch.Place:
+		case dispatch.Placement:
 			if c := w.calls[o.ID]; c != nil {
 				c.placed = w.now
 			}
--- a/internal/process/content.go
+++ b/internal/process/content.go
@@ -79,9 +79,9 @@
 	if s.view.Revision != revision || whole {
 		s.publish(now)
 	} else {
-		s.node.Step(dispatch.Seen{AsOf: s.view.AsOf}, now)
+		s.node.Step(dispatch.CaughtUp{AsOf: s.view.AsOf}, now)
 	}
-	s.node.Step(dispatch.Sighted{Delta: told(deltaOf(l, whole, asOf)), Whole: whole, Back: back}, now)
+	s.node.Step(dispatch.StoreRead{Delta: told(deltaOf(l, whole, asOf)), FullListing: whole, Recovered: back}, now)
 	if after := s.number(); after != before {
 		s.log.Info().Uint64("version", after).Uint64("before", before).Uint64("revision", s.view.TableRev).Msg("table-accepted")
 	}
@@ -168,7 +168,7 @@
 }
 
 // apply takes changes that a peer has read from the store.
-func (s *Steerer) apply(o dispatch.Apply) {
+func (s *Steerer) apply(o dispatch.ApplyDelta) {
 	if o.Delta.From > s.view.AsOf || o.Delta.To <= s.view.AsOf {
 		return // another source was faster
 	}
@@ -200,7 +200,7 @@
 		clear(s.unnamed)
 		s.logUnnamed(list)
 	} else {
-		c.Part, c.Instances, c.Ended = true, changes.Put, changes.Ended
+		c.Incremental, c.Instances, c.Ended = true, changes.Put, changes.Ended
 		s.updateUsable(changes, evacuated)
 		s.logUnnamed(changes.Put)
 	}
--- a/internal/process/handover.go
+++ b/internal/process/handover.go
@@ -42,5 +42,5 @@
 		s.log.Warn().Err(err).Str("peer", string(o.From)).Str("service", o.Service).Msg("snapshot-unreadable")
 		return
 	}
-	s.Step(dispatch.Inherit{From: o.From, Snapshot: state})
+	s.Step(dispatch.SnapshotFetched{From: o.From, Snapshot: state})
 }
--- a/internal/process/kept.go
+++ b/internal/process/kept.go
@@ -27,7 +27,7 @@
 	Epoch   string // another one: the engine has started anew
 	Next    uint64 // position to go on from
 	Lost    bool   // changes in between are missing
-	Changes []dispatch.KeptPart
+	Changes []dispatch.PartUpdate
 }
 
 // Timing of reading kept parts. Each call is priced like a probe; a list delays
@@ -157,12 +157,12 @@
 		restarted := news.Epoch != s.epoch && s.epoch != ""
 		s.epoch, s.whole = news.Epoch, false
 		if restarted {
-			f.st.Step(dispatch.Kept{Instance: e.Start(), Full: true})
+			f.st.Step(dispatch.CacheUpdate{Instance: e.Start(), Full: true})
 		}
 		return
 	}
 	s.next = news.Next
-	f.st.Step(dispatch.Kept{Instance: e.Start(), Parts: news.Changes})
+	f.st.Step(dispatch.CacheUpdate{Instance: e.Start(), Parts: news.Changes})
 }
 
 func (f *keptFollower) list(ctx context.Context, e routing.Instance, s *keptState) {
@@ -174,5 +174,5 @@
 		return
 	}
 	s.epoch, s.next, s.whole = news.Epoch, news.Next, true
-	f.st.Step(dispatch.Kept{Instance: e.Start(), Full: true, Parts: news.Changes})
+	f.st.Step(dispatch.CacheUpdate{Instance: e.Start(), Full: true, Parts: news.Changes})
 }
--- a/internal/process/peercontent.go
+++ b/internal/process/peercontent.go
@@ -138,7 +138,7 @@
 
 // fetch reads the content from a peer that knows more.
 func (s *Steerer) fetch(from wire.NodeID, have held) {
-	defer s.Step(dispatch.FetchEnded{})
+	defer s.Step(dispatch.FetchContentEnded{})
 	raw, err := cbor.Marshal(have)
 	if err != nil {
 		s.log.Error().Err(err).Msg("question-not-encoded")
@@ -218,7 +218,7 @@
 	if c.Base == 0 || c.Base > s.view.AsOf || c.AsOf != s.view.AsOf || c.Sum == s.view.Sum() {
 		return
 	}
-	other := s.node.Another(from, now)
+	other := s.node.AlternativeSource(from, now)
 	s.log.Warn().Str("peer", string(from)).Uint64("as_of", c.AsOf).Str("reads_from", string(other)).Msg("content-differs")
 	s.wantsWhole = true
 	if other != "" {
--- a/internal/process/peercontent_test.go
+++ b/internal/process/peercontent_test.go
@@ -105,7 +105,7 @@
 	require.NoError(t, err)
 	s.take(listing(12, both, nil), false, false, now)
 	assert.Equal(t, 4, upstreams())
-	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: list[3]}))
+	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Placement{Instance: list[3]}))
 	s.take(listing(13, builtTable(t, 4), nil), false, false, now)
 	assert.Equal(t, 3, upstreams())
 }
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -14,10 +14,10 @@
 func (s *Steerer) Excess() float64 { return s.strain.excess() }
 
 // TurnedAway implements forward.Control.
-func (s *Steerer) TurnedAway(w dispatch.TurnedWork) { s.turned.add(w) }
+func (s *Steerer) TurnedAway(w dispatch.ShedWork) { s.turned.add(w) }
 
 // Unusable implements forward.Control.
-func (s *Steerer) Unusable(p *dispatch.Place) forward.Unusable {
+func (s *Steerer) Unusable(p *dispatch.Placement) forward.Unusable {
 	now := s.now()
 	up := s.usable.of(p.Instance.Start(), now)
 	switch {
@@ -46,7 +46,7 @@
 	if !up.listed {
 		return // it is known to leave, or to have ended
 	}
-	s.Step(dispatch.SaysLeaving{Instance: up.inst})
+	s.Step(dispatch.LeaveNotice{Instance: up.inst})
 }
 
 // UpstreamBacksOff implements forward.Control.
@@ -59,7 +59,7 @@
 }
 
 // drain takes an instance out of use that has said that it leaves.
-func (s *Steerer) drain(o dispatch.Leaving) {
+func (s *Steerer) drain(o dispatch.UpstreamLeaving) {
 	s.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Str("peer", string(o.From)).Uint64("revision", s.view.Revision).Msg("upstream-says-it-leaves")
 	if s.view.Drain(o.Instance) {
 		s.publish(s.now())
@@ -76,7 +76,7 @@
 func (s *Steerer) Submit(r dispatch.Request) *forward.Ticket {
 	t := forward.NewTicket(s.nextID.Add(1))
 	r.ID = t.ID
-	r.Aim = s.base.Add(r.Aim.Sub(s.base))
+	r.TargetTime = s.base.Add(r.TargetTime.Sub(s.base))
 	r.Deadline = s.base.Add(r.Deadline.Sub(s.base))
 	s.do(func(now time.Time) {
 		s.tickets[t.ID] = t
--- a/internal/process/steer.go
+++ b/internal/process/steer.go
@@ -110,7 +110,7 @@
 // Run is the control goroutine. It ends with the context.
 func (s *Steerer) Run(ctx context.Context) {
 	go s.strain.run(ctx)
-	s.run(ctx, dispatch.TickEvery, s, s.log)
+	s.run(ctx, dispatch.TickInterval, s, s.log)
 }
 
 func (s *Steerer) receive(m *wire.Datagram, now time.Time) {
@@ -144,7 +144,7 @@
 	s.ticks++
 	if on := s.Excess() > 0; on != s.strained {
 		s.strained = on
-		s.node.Step(dispatch.Strained{On: on}, now)
+		s.node.Step(dispatch.CPUOverload{On: on}, now)
 		s.log.Info().Bool("on", on).Float64("excess", s.Excess()).Msg("short-of-processor")
 	}
 	if s.strained && s.ticks%strainTicks == 0 {
@@ -152,7 +152,7 @@
 	}
 	if s.ticks%turnedTicks == 0 {
 		if work := s.turned.take(); len(work) > 0 {
-			s.node.Step(dispatch.Turned{Work: work}, now)
+			s.node.Step(dispatch.LoadShed{Work: work}, now)
 		}
 	}
 	if s.ticks%coverTicks == 0 {
@@ -163,7 +163,7 @@
 			s.log.Info().Bool("on", on).Bool("chosen", s.node.IsWatcher(now)).Msg("reads-source")
 		}
 		s.watchPause.Store(int64(s.pauseOf(now)))
-		engines := s.node.Scheduled(now)
+		engines := s.node.ScheduledEngines(now)
 		s.engines.Store(&engines)
 	}
 	if s.ticks%readyTicks == 0 {
@@ -192,8 +192,8 @@
 	for _, o := range outs {
 		switch o := o.(type) {
 		case dispatch.Send:
-			s.sent.count(o.Datagram, s.route.Send(o.To, o.Datagram), s.node.IsNear(o.To))
-		case dispatch.Place:
+			s.sent.count(o.Datagram, s.route.Send(o.To, o.Datagram), s.node.InSamePlace(o.To))
+		case dispatch.Placement:
 			if t := s.tickets[o.ID]; t != nil {
 				t.Decide(forward.Decision{Place: &o})
 			}
@@ -202,16 +202,16 @@
 				delete(s.tickets, o.ID)
 				t.Decide(forward.Decision{Refusal: o})
 			}
-		case dispatch.Fetch:
+		case dispatch.FetchContent:
 			go s.fetch(o.From, s.have())
 		case dispatch.FetchSnapshot:
 			go s.fetchSnapshot(o)
-		case dispatch.Apply:
+		case dispatch.ApplyDelta:
 			s.apply(o)
-		case dispatch.StoreBack:
+		case dispatch.StoreRecovered:
 			s.view.StoreReturned(o.At)
 			s.log.Info().Str("peer", string(o.From)).Int64("age_ms", s.now().Sub(o.At).Milliseconds()).Msg("source-back-at-peer")
-		case dispatch.Gone:
+		case dispatch.UpstreamGone:
 			s.ups.Forget(o.Instance.Address)
 			cut := 0
 			if o.Restarted {
@@ -219,7 +219,7 @@
 			}
 			s.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Int64("born", o.Instance.Born).Bool("restarted", o.Restarted).Int("cut", cut).
 				Uint64("revision", s.view.Revision).Msg("upstream-gone")
-		case dispatch.Leaving:
+		case dispatch.UpstreamLeaving:
 			s.drain(o)
 		case dispatch.Probe:
 			go s.probe(o.Instance)
@@ -234,7 +234,7 @@
 }
 
 // SourceFailed says that the source did not answer.
-func (s *Steerer) SourceFailed() { s.Step(dispatch.Unsighted{}) }
+func (s *Steerer) SourceFailed() { s.Step(dispatch.StoreUnreachable{}) }
 
 // WatchPause is the longest pause between two tries of a source that fails.
 func (s *Steerer) WatchPause() time.Duration { return time.Duration(s.watchPause.Load()) }
--- a/internal/process/turned.go
+++ b/internal/process/turned.go
@@ -16,7 +16,7 @@
 
 type turnedKey struct{ service, org string }
 
-func (t *turnedWork) add(w dispatch.TurnedWork) {
+func (t *turnedWork) add(w dispatch.ShedWork) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sums == nil {
@@ -26,12 +26,12 @@
 }
 
 // take returns the sums since the last time.
-func (t *turnedWork) take() []dispatch.TurnedWork {
+func (t *turnedWork) take() []dispatch.ShedWork {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []dispatch.TurnedWork
+	var out []dispatch.ShedWork
 	for k, tokens := range t.sums {
-		out = append(out, dispatch.TurnedWork{Service: k.service, Org: k.org, Tokens: tokens})
+		out = append(out, dispatch.ShedWork{Service: k.service, Org: k.org, Tokens: tokens})
 	}
 	clear(t.sums)
 	return out
--- a/internal/process/usable_test.go
+++ b/internal/process/usable_test.go
@@ -18,7 +18,7 @@
 	now := clock.System.Now()
 	s := &Steerer{controlLoop: newControlLoop(now)}
 	i := routing.Instance{ID: "a", Place: "p", Born: 7}
-	p := &dispatch.Place{Instance: i}
+	p := &dispatch.Placement{Instance: i}
 	assert.Equal(t, forward.MaySend, s.Unusable(p), "nothing is known yet")
 	s.publishUsable([]routing.Instance{i}, nil)
 	assert.Equal(t, forward.MaySend, s.Unusable(p))
@@ -28,8 +28,8 @@
 	cold.ColdUntil, leaving.Draining, next.Born = now.Add(time.Minute), true, 8
 	s.publishUsable([]routing.Instance{cold}, nil)
 	assert.Equal(t, forward.UpstreamCold, s.Unusable(p), "it was placed before that was known")
-	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: i, Cold: true, SendBy: now.Add(time.Minute)}))
-	assert.Equal(t, forward.UpstreamCold, s.Unusable(&dispatch.Place{Instance: i, Cold: true, SendBy: now}), "its time is over")
+	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Placement{Instance: i, Cold: true, SendBy: now.Add(time.Minute)}))
+	assert.Equal(t, forward.UpstreamCold, s.Unusable(&dispatch.Placement{Instance: i, Cold: true, SendBy: now}), "its time is over")
 	for _, list := range [][]routing.Instance{{leaving}, {next}, nil} {
 		s.publishUsable(list, nil)
 		assert.Equal(t, forward.UpstreamLeft, s.Unusable(p))
@@ -41,7 +41,7 @@
 	now := clock.System.Now()
 	s := &Steerer{controlLoop: newControlLoop(now)}
 	i := routing.Instance{ID: "a", Place: "p", Born: 7}
-	p := &dispatch.Place{Instance: i}
+	p := &dispatch.Placement{Instance: i}
 	s.publishUsable([]routing.Instance{i}, nil)
 	s.usable.backOff(i.Start(), now.Add(time.Minute), now)
 	assert.Equal(t, forward.UpstreamBacksOff, s.Unusable(p))
@@ -51,5 +51,5 @@
 	assert.False(t, s.usable.of(i.Start(), now.Add(2*time.Minute)).backsOff)
 	i.Born = 8
 	s.publishUsable([]routing.Instance{i}, nil)
-	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: i}), "another start")
+	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Placement{Instance: i}), "another start")
 }
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -24,7 +24,7 @@
 // answer is one upstream's answer to an attempt.
 type answer struct {
 	*run
-	place   *dispatch.Place
+	place   *dispatch.Placement
 	x       *conn.Exchange
 	began   time.Time
 	silence *watchdog
--- a/internal/request/forward/control.go
+++ b/internal/request/forward/control.go
@@ -31,10 +31,10 @@
 	// let in while this router is short of processor: 1 unless it has had its share.
 	Covered(service, org string) float64
 	// TurnedAway says that work was refused for that reason, without Submit.
-	TurnedAway(w dispatch.TurnedWork)
+	TurnedAway(w dispatch.ShedWork)
 	// Unusable says why a request may no longer be sent where it was placed, by what is
 	// known now; MaySend when it may.
-	Unusable(*dispatch.Place) Unusable
+	Unusable(*dispatch.Placement) Unusable
 	// Quarantined returns what is known of an organisation's requests under which
 	// upstreams have crashed; it is not changed.
 	Quarantined(org string) map[fingerprint.Fingerprint]quarantine.State
@@ -71,7 +71,7 @@
 
 // Decision is where a request runs, or why it does not.
 type Decision struct {
-	Place   *dispatch.Place // nil for a refusal
+	Place   *dispatch.Placement // nil for a refusal
 	Refusal dispatch.Refuse
 }
 
--- a/internal/request/forward/count.go
+++ b/internal/request/forward/count.go
@@ -42,7 +42,7 @@
 		e.AnErr("cause", f.err)
 	}
 	if d := f.refusal; d != nil {
-		e.Str("by", string(d.By)).Int("wait_ms", d.WaitMS).Int("limit_ms", d.LimitMS).Int("own_ms", d.OwnMS).Uint32("share_percent", d.Over).Uint64("revision", d.Revision)
+		e.Str("by", string(d.By)).Int("wait_ms", d.WaitMS).Int("limit_ms", d.LimitMS).Int("own_ms", d.PrefillMS).Uint32("share_percent", d.Over).Uint64("revision", d.Revision)
 	}
 	if f.crashes > 0 {
 		e.Stringer("fingerprint", v.fingerprint()).Int("crashes", f.crashes)
@@ -69,8 +69,8 @@
 }
 
 // placeFields are what a decision rested on.
-func placeFields(e *zerolog.Event, p *dispatch.Place) {
-	e.Str("by", string(p.By)).Int("wait_ms", p.WaitMS).Int("own_ms", p.OwnMS).Int("work", p.Work).Uint64("revision", p.Revision)
+func placeFields(e *zerolog.Event, p *dispatch.Placement) {
+	e.Str("by", string(p.By)).Int("wait_ms", p.WaitMS).Int("own_ms", p.PrefillMS).Int("work", p.ReadTokens).Uint64("revision", p.Revision)
 	if p.Source != "" {
 		e.Str("source", p.Source)
 	}
--- a/internal/request/forward/look.go
+++ b/internal/request/forward/look.go
@@ -112,8 +112,8 @@
 
 // lookFinds looks at the upstream of a placement that asks for it. It reports whether
 // the request is to go elsewhere, and tells the control state why.
-func (r *run) lookFinds(p *dispatch.Place) (elsewhere bool) {
-	if !p.Look || r.s.ctl.Unusable(p) != MaySend {
+func (r *run) lookFinds(p *dispatch.Placement) (elsewhere bool) {
+	if !p.CheckHealth || r.s.ctl.Unusable(p) != MaySend {
 		return false // in the second case it is withdrawn before it is sent
 	}
 	path := r.table.HealthPath(r.service)
--- a/internal/request/forward/quarantine.go
+++ b/internal/request/forward/quarantine.go
@@ -51,7 +51,7 @@
 
 // broke says that the upstream may have run the request and gave no whole answer; early
 // that the answer had not begun.
-func (r *run) broke(p *dispatch.Place, early bool, err error) {
+func (r *run) broke(p *dispatch.Placement, early bool, err error) {
 	r.s.ctl.Broke(dispatch.Broke{
 		Content:  r.fingerprint(),
 		Org:      r.org,
--- a/internal/request/forward/rig_test.go
+++ b/internal/request/forward/rig_test.go
@@ -52,7 +52,7 @@
 	notes []uint8
 	leave atomic.Bool
 	full  atomic.Bool // excess of nine in ten
-	away  []dispatch.TurnedWork
+	away  []dispatch.ShedWork
 	left  map[string]bool // instances that have left
 
 	known    map[fingerprint.Fingerprint]quarantine.State
@@ -79,7 +79,7 @@
 
 func (c *fakeControl) Covered(string, string) float64 { return 1 }
 
-func (c *fakeControl) Unusable(p *dispatch.Place) Unusable {
+func (c *fakeControl) Unusable(p *dispatch.Placement) Unusable {
 	if c.left[p.Instance.ID] {
 		return UpstreamLeft
 	}
@@ -128,7 +128,7 @@
 	c.whole = append(c.whole, f)
 }
 
-func (c *fakeControl) TurnedAway(w dispatch.TurnedWork) {
+func (c *fakeControl) TurnedAway(w dispatch.ShedWork) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.away = append(c.away, w)
@@ -149,7 +149,7 @@
 	}
 	i := routing.Instance{ID: fmt.Sprintf("i-%d", c.next), Address: c.ups[c.next]}
 	c.next++
-	t.Decide(Decision{Place: &dispatch.Place{ID: t.ID, Instance: i, Look: c.look}})
+	t.Decide(Decision{Place: &dispatch.Placement{ID: t.ID, Instance: i, CheckHealth: c.look}})
 }
 
 func (c *fakeControl) Again(t *Ticket, note uint8) {
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -115,7 +115,7 @@
 }
 
 // attempt sends the request to one upstream.
-func (r *run) attempt(p *dispatch.Place) step {
+func (r *run) attempt(p *dispatch.Placement) step {
 	ctx, span := r.s.tracer.Start(r.ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("upstream", p.Instance.ID), attribute.String("place", p.Instance.Place)))
 	defer span.End()
@@ -139,7 +139,7 @@
 // the request may be sent elsewhere; 0 is no limit. By then the answer is late
 // where it is; a shorter limit would end work that a busy upstream, or this
 // router, is merely slow with.
-func (r *run) firstLimit(p *dispatch.Place) time.Duration {
+func (r *run) firstLimit(p *dispatch.Placement) time.Duration {
 	if !r.mayRepeat() {
 		return 0
 	}
@@ -165,7 +165,7 @@
 }
 
 // message builds what is sent to an upstream.
-func (r *run) message(p *dispatch.Place) *conn.Message {
+func (r *run) message(p *dispatch.Placement) *conn.Message {
 	n := &r.s.names
 	h := n.upstreamHeader(r.r.Header)
 	h.Set(n.ExpectInstance, p.Instance.ID)
@@ -190,7 +190,7 @@
 }
 
 // sendFailed follows an attempt without an answer.
-func (r *run) sendFailed(p *dispatch.Place, err error) step {
+func (r *run) sendFailed(p *dispatch.Placement, err error) step {
 	sent := !isNotSent(err)
 	r.ran = r.ran || sent
 	switch {
@@ -223,7 +223,7 @@
 }
 
 // withdraw asks for another place for a request that was not sent to the one it had.
-func (r *run) withdraw(p *dispatch.Place, why Unusable) {
+func (r *run) withdraw(p *dispatch.Placement, why Unusable) {
 	r.withdrawn++
 	r.s.count.withdrawn.Inc(1)
 	r.logAttempt(p, string(why), nil)
@@ -231,7 +231,7 @@
 }
 
 // afterFailure tells the end of a request that is not tried again.
-func (r *run) afterFailure(p *dispatch.Place, sent bool, err error) {
+func (r *run) afterFailure(p *dispatch.Placement, sent bool, err error) {
 	switch {
 	case r.begun:
 		r.abort("upstream-failed")
@@ -258,7 +258,7 @@
 func isNotSent(err error) bool { return conn.IsNotSent(err) }
 
 // logAttempt writes the line of an attempt that did not end well.
-func (r *run) logAttempt(p *dispatch.Place, what string, err error) {
+func (r *run) logAttempt(p *dispatch.Placement, what string, err error) {
 	e := r.s.lines.failure()
 	if e == nil {
 		return
@@ -272,7 +272,7 @@
 }
 
 // logAnswered writes the line of an answered request, for some of them.
-func (r *run) logAnswered(p *dispatch.Place, status int, first time.Duration) {
+func (r *run) logAnswered(p *dispatch.Placement, status int, first time.Duration) {
 	r.s.count.answered.Inc(1)
 	e := r.s.lines.answered()
 	if e == nil {
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -123,7 +123,7 @@
 // for, so that its organisation's share is not cut for having come in here.
 func (v *visit) turnAway() {
 	v.s.count.shed.Inc(1)
-	v.s.ctl.TurnedAway(dispatch.TurnedWork{
+	v.s.ctl.TurnedAway(dispatch.ShedWork{
 		Service: v.service,
 		Org:     v.org,
 		Tokens:  dispatch.Cost(v.prompt.input, v.prompt.output),
@@ -223,15 +223,15 @@
 	ctx, stop := v.s.clock.WithDeadline(v.r.Context(), v.deadline)
 	defer stop()
 	t := v.s.ctl.Submit(dispatch.Request{
-		Service:  v.service,
-		Org:      v.org,
-		Input:    v.prompt.input,
-		Output:   v.prompt.output,
-		Parts:    v.prompt.parts,
-		Priority: v.priority,
-		Aim:      v.arrived.Add(v.route.Target),
-		Deadline: v.deadline,
-		Regions:  v.regions,
+		Service:    v.service,
+		Org:        v.org,
+		Input:      v.prompt.input,
+		Output:     v.prompt.output,
+		Parts:      v.prompt.parts,
+		Priority:   v.priority,
+		TargetTime: v.arrived.Add(v.route.Target),
+		Deadline:   v.deadline,
+		Regions:    v.regions,
 	})
 	r := &run{visit: v, ctx: ctx, ticket: t, last: lastEvent(v.r.Header)}
 	r.loop()
