--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -61,7 +61,7 @@
 		return
 	}
 	f.by, f.asked = to, now
-	n.Counts.PlacementRequests++
+	n.Counts.Asked++
 	n.ask(f, now)
 }
 
@@ -181,7 +181,7 @@
 		case n.lateness.told:
 			// The answer may wait unread here.
 		case now.Sub(f.sent) >= n.replyRTT.again():
-			n.Counts.PlacementRetries++
+			n.Counts.AskedAgain++
 			n.ask(f, now)
 		}
 	}
@@ -190,7 +190,7 @@
 // silentScheduler decides here instead of a scheduler that has not answered. A
 // router that was heard since the ask is slow, not gone, and stays scheduler.
 func (n *Node) silentScheduler(f *flight, now time.Time) {
-	n.Counts.LocalDecisions++
+	n.Counts.OwnDecision++
 	n.timedOutRequests[f.req.ID] = givenUp{f.try, f.asked}
 	if m := n.members.Get(f.by); n.mayBlame(now) && (m == nil || m.Heard.Before(f.asked)) {
 		n.blame(f.by, now)
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -143,7 +143,7 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Placed, Refused, PlacementRequests, PlacementRetries, LocalDecisions, LocalPlacements, LateReplies, Woke, Ended, PlacedCold uint64
+	Placed, Refused, Asked, AskedAgain, OwnDecision, OwnPlaced, AnswersLate, Woke, Ended, PlacedCold uint64
 }
 
 // New returns a node that has heard nobody.
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -152,7 +152,7 @@
 	f := n.inflight[a.No]
 	n.answerTook(a.No, a.Try, f, now)
 	if f == nil || f.placed != 0 || f.by != from || f.try != a.Try {
-		n.Counts.LateReplies++
+		n.Counts.AnswersLate++
 		if a.Upstream != 0 && (f == nil || f.by != from || f.try != a.Try) {
 			w := n.work(from)
 			w.Notes = append(w.Notes, wire.WorkNote{No: a.No, Event: wire.NoteUnused})
--- a/internal/dispatch/unasked.go
+++ b/internal/dispatch/unasked.go
@@ -65,7 +65,7 @@
 	n.unreportedUsage.add(k, wanted, got)
 	n.reports.countAlone(k, tokens, placed)
 	if placed {
-		n.Counts.LocalPlacements++
+		n.Counts.OwnPlaced++
 	}
 	return true
 }
--- a/internal/process/routed.go
+++ b/internal/process/routed.go
@@ -227,8 +227,8 @@
 	}
 	lines := map[string]string{}
 	for name, n := range map[string]uint64{
-		"placed": s.Counts.Placed, "refused": s.Counts.Refused, "asked": s.Counts.PlacementRequests, "asked_again": s.Counts.PlacementRetries,
-		"own_decisions": s.Counts.LocalDecisions, "own_placed": s.Counts.LocalPlacements, "answers_late": s.Counts.LateReplies, "pauses": s.Counts.Woke,
+		"placed": s.Counts.Placed, "refused": s.Counts.Refused, "asked": s.Counts.Asked, "asked_again": s.Counts.AskedAgain,
+		"own_decisions": s.Counts.OwnDecision, "own_placed": s.Counts.OwnPlaced, "answers_late": s.Counts.AnswersLate, "pauses": s.Counts.Woke,
 		"table_version": s.Version, "store_revision": s.Revision, "routers": uint64(len(s.Routers)), "requests_held": uint64(len(s.Held)), "upstreams_ended": s.Counts.Ended,
 		"places_evacuated": uint64(len(s.Evacuated)), "upstreams_cold": uint64(s.cold()), "placed_cold": s.Counts.PlacedCold,
 	} {
