--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -9,58 +9,61 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Regular messages. In a small fleet every router tells every other one what it uses. In a
-// larger one it tells the heirs, who decide by it, and a few routers tell everyone what
-// everyone needs: that the store has changed, how old its latest reading is, and how much
-// the whole fleet is asked for. So what a router sends does not grow with the fleet.
+// Heartbeats. In a small fleet every router sends its usage to every other one. In a large
+// fleet it sends its usage only to the scheduler groups, which decide by it, and a few
+// announcers send everyone what all need: that the store has changed, how old its latest
+// reading is, and the demand of the whole fleet. So what a router sends does not grow with
+// the fleet.
 //
-// Load pattern: 195 routers, each telling all others 40 times a second. That is 7,800
-// datagrams a second in the fleet, and loads are 5 s old when they are heard.
+// Load pattern: 195 routers that each send to all others 40 times a second. That would be
+// 7,800 datagrams a second in the fleet, and loads would be 5 s old on arrival.
 const (
-	// meshMaxRouters is the largest fleet in which every router tells every other one.
+	// meshMaxRouters is the largest fleet in which every router sends heartbeats to every
+	// other one.
 	meshMaxRouters = 12
-	// heartbeatInterval and heartbeatIntervalPerRouter are the period of what goes to everyone: in a large
-	// fleet less often, so that what a router sends stays bounded.
+	// heartbeatInterval and heartbeatIntervalPerRouter give the interval of what is sent to
+	// everyone. It grows with the fleet, so that what a router sends stays bounded.
 	heartbeatInterval          = 200 * time.Millisecond
 	heartbeatIntervalPerRouter = 25 * time.Millisecond
-	// groupHeartbeatInterval and groupIntervalPerRouter are the period of what heirs are told: shorter than a
-	// request lasts, and at most ten datagrams a second.
+	// groupHeartbeatInterval and groupIntervalPerRouter give the interval of what is sent to
+	// scheduler groups: shorter than a request lasts, and at most ten datagrams a second.
 	groupHeartbeatInterval = 500 * time.Millisecond
 	groupIntervalPerRouter = 100 * time.Millisecond
-	// maxRoundCatchUp bounds how many routers are told at once by one whose ticks came late.
+	// maxRoundCatchUp bounds how many announcements are sent at once after late ticks.
 	maxRoundCatchUp = 8
 )
 
-// schedulerGroupSize is how many routers of a service keep the model of kept parts warm, its
-// scheduler among them.
+// schedulerGroupSize is the size of a service's scheduler group: the scheduler and its
+// standbys, which keep the model of the prefix caches up to date.
 const schedulerGroupSize = 3
 
-// beats is the state of regular messages.
+// heartbeats is the state of sending heartbeats.
 type heartbeats struct {
 	seq             uint32
-	due             time.Time                  // of what heirs are told
-	lastSlot        int64                      // number of the last turn in which a router was told
-	schedulers      map[version.ID]wire.NodeID // by service, as they were seen last
-	schedulerSince  map[version.ID]time.Time   // since when they are
-	schedulingSince map[version.ID]time.Time   // the same of the services that this router schedules
+	due             time.Time                  // of the next heartbeat
+	lastSlot        int64                      // number of the last time slot for an announcement
+	schedulers      map[version.ID]wire.NodeID // last known, by service
+	schedulerSince  map[version.ID]time.Time   // when each of these took over
+	schedulingSince map[version.ID]time.Time   // the same for services that this router schedules
 }
 
+// heartbeatPeriod returns the interval of what is sent to everyone.
 func heartbeatPeriod(routers int) time.Duration {
 	return max(heartbeatInterval, time.Duration(routers)*heartbeatIntervalPerRouter)
 }
 
-// schedulerGroup returns the routers that are, or may soon be, the scheduler of a service, in order.
+// schedulerGroup returns the scheduler of a service and its standbys, in order of succession.
 func (n *Node) schedulerGroup(service version.ID, now time.Time) []wire.NodeID {
 	ranked := n.ranked(service, now)
 	return ranked[:min(schedulerGroupSize, len(ranked))]
 }
 
-// others returns a list of routers without this one.
+// otherRouters returns a list of routers without this one.
 func (n *Node) otherRouters(list []wire.NodeID) []wire.NodeID {
 	return slices.DeleteFunc(slices.Clone(list), func(id wire.NodeID) bool { return id == n.settings.ID })
 }
 
-// heirs returns the routers that are, or may soon be, the scheduler of some services.
+// groupMembers returns the routers that are in the scheduler group of some service.
 func (n *Node) groupMembers(now time.Time) map[wire.NodeID]bool {
 	out := map[wire.NodeID]bool{}
 	plain := n.isLarge()
@@ -75,10 +78,10 @@
 	return out
 }
 
-// isLarge reports whether the fleet is too large for every router to tell every other one.
+// isLarge reports whether the fleet is too large for a full mesh of heartbeats.
 func (n *Node) isLarge() bool { return len(n.members.Live(true)) > meshMaxRouters }
 
-// tickHeartbeat sends the regular messages that are due.
+// tickHeartbeat sends the heartbeats and announcements that are due.
 func (n *Node) tickHeartbeat(now time.Time) {
 	n.updateSchedulers(now)
 	if n.isLarge() {
@@ -95,8 +98,8 @@
 	n.forgetDead(now)
 }
 
-// updateSchedulers tells a new scheduler at once what this router uses: until then it knows
-// only what it has placed itself.
+// updateSchedulers detects changes of schedulers, and brings the next heartbeat forward for a
+// new one: until it receives that, it knows only its own placements.
 func (n *Node) updateSchedulers(now time.Time) {
 	for _, p := range n.pools {
 		to := n.schedulerOf(p.id, now)
@@ -116,18 +119,18 @@
 	}
 }
 
-// sendHeartbeat tells every router, or the heirs in a large fleet, what this one uses, and the
-// heirs what was read lately.
+// sendHeartbeat sends this router's usage to every router, or in a large fleet to the scheduler
+// groups, and to the scheduler groups also which prompt parts were prefilled since.
 func (n *Node) sendHeartbeat(now time.Time) {
-	heirs := n.groupMembers(now)
+	groupMembers := n.groupMembers(now)
 	to := n.members.Live(true)
 	n.heartbeats.due = now.Add(heartbeatPeriod(len(to)))
 	if n.isLarge() {
-		to = slices.DeleteFunc(slices.Clone(to), func(id wire.NodeID) bool { return !heirs[id] })
+		to = slices.DeleteFunc(slices.Clone(to), func(id wire.NodeID) bool { return !groupMembers[id] })
 		n.heartbeats.due = now.Add(max(groupHeartbeatInterval, time.Duration(len(to))*groupIntervalPerRouter))
 	}
 	n.heartbeats.seq++
-	demand, models, doubts := n.ownDemand(now), n.ownModels(), n.suspicions(now)
+	demand, models, suspicions := n.ownDemand(now), n.ownModels(), n.suspicions(now)
 	n.applyLoads(n.settings.ID, n.loadsFor(n.settings.ID), now)
 	all, placed := n.loadsFor(""), n.placingRouters()
 	for _, id := range to {
@@ -135,11 +138,11 @@
 			continue
 		}
 		w := n.work(id)
-		w.Beat, w.Loads, w.Demand, w.Doubts = n.heartbeats.seq, all, demand, doubts
+		w.Beat, w.Loads, w.Demand, w.Doubts = n.heartbeats.seq, all, demand, suspicions
 		if placed[id] {
 			w.Loads = n.loadsFor(id)
 		}
-		if heirs[id] {
+		if groupMembers[id] {
 			w.Held, w.Models = n.readParts, models
 		}
 		n.attachStoreState(id, now)
@@ -148,9 +151,9 @@
 	n.readParts = nil
 }
 
-// attachStoreState tells a router what this one knows of the store: without a table it has
-// nothing that another could read from it. What it holds, and which upstreams have said that
-// they leave, goes with it.
+// attachStoreState adds to a router's datagram what this one knows of the store. Without a
+// table it has no content that another router could fetch from it. The sum of the quarantined
+// requests and the upstreams that are leaving go along with it.
 func (n *Node) attachStoreState(to wire.NodeID, now time.Time) {
 	w := n.work(to)
 	n.stateHeld(to)
@@ -159,9 +162,9 @@
 	w.Sight, w.Blind = n.store.current(now), n.store.isUnreachable(now)
 }
 
-// complete is the last change of the store's content up to which this router knows all of
-// them, 0 without a table. Others read from it what they lack: a change that it knows by
-// itself, as one of a page that was read late, is nothing to read.
+// completeUpTo returns the revision up to which this router knows all changes of the store's
+// content, 0 without a table. Others fetch what they lack by it; a later change that is known
+// by itself, such as one from a page that was read late, gives them nothing to fetch.
 func (n *Node) completeUpTo() uint64 {
 	if n.catalogue.Table == nil {
 		return 0
@@ -169,9 +172,9 @@
 	return min(n.catalogue.Revision, n.catalogue.AsOf)
 }
 
-// announceInTurn tells everyone in turn, if this router is one of those that do: one router
-// each heartbeatIntervalPerRouter, the tellers as far apart in the round as their number allows, so
-// that each router hears one of them every few hundred milliseconds.
+// announceInTurn sends announcements to all routers in turn, if this router is an announcer:
+// one router in each heartbeatIntervalPerRouter. The announcers are spread evenly over the
+// round, so that each router receives one of them every few hundred milliseconds.
 func (n *Node) announceInTurn(now time.Time) {
 	turn := now.UnixNano() / int64(heartbeatIntervalPerRouter)
 	last := n.heartbeats.lastSlot
@@ -180,29 +183,30 @@
 	}
 	n.heartbeats.lastSlot = turn
 	all := n.members.Live(true)
-	heirs := n.groupMembers(now)
-	tellers := n.announcers(heirs, now)
-	i := slices.Index(tellers, n.settings.ID)
+	groupMembers := n.groupMembers(now)
+	announcers := n.announcers(groupMembers, now)
+	i := slices.Index(announcers, n.settings.ID)
 	if i < 0 {
 		return
 	}
 	for t := max(last, turn-maxRoundCatchUp) + 1; t <= turn; t++ {
-		id := all[(t+int64(i*len(all)/len(tellers)))%int64(len(all))]
+		id := all[(t+int64(i*len(all)/len(announcers)))%int64(len(all))]
 		if id == n.settings.ID {
 			continue
 		}
 		w := n.work(id)
 		n.attachStoreState(id, now)
-		if heirs[n.settings.ID] {
+		if groupMembers[n.settings.ID] {
 			w.Fleet = n.fleetDemand(now)
 		}
 	}
 }
 
-// tellers returns those who tell everyone, sorted: the heirs, those who read the store,
-// and this router if others take it for one that reads the store, and it cannot.
-func (n *Node) announcers(heirs map[wire.NodeID]bool, now time.Time) []wire.NodeID {
-	set := maps.Clone(heirs)
+// announcers returns the announcers in sorted order: the members of scheduler groups, the
+// watchers of the store, and this router if others take it for a watcher while it cannot reach
+// the store.
+func (n *Node) announcers(groupMembers map[wire.NodeID]bool, now time.Time) []wire.NodeID {
+	set := maps.Clone(groupMembers)
 	for _, id := range n.chosenWatchers(now) {
 		set[id] = true
 	}
@@ -217,8 +221,8 @@
 	return out
 }
 
-// placers returns the routers that placed something that runs now: the loads of all
-// others are the same.
+// placingRouters returns the routers that placed a request of this router that is running. All
+// others are sent the same loads.
 func (n *Node) placingRouters() map[wire.NodeID]bool {
 	out := map[wire.NodeID]bool{}
 	for _, f := range n.inflight {
@@ -229,9 +233,9 @@
 	return out
 }
 
-// loadsFor is this router's use of upstreams, less what the receiver placed: that one
-// knows it better. A load is up to 200 ms old: counted against what was placed, prompts
-// that have been read meanwhile would seem to wait.
+// loadsFor returns this router's usage of upstreams without what the receiver placed, which the
+// receiver knows better. A load is up to 200 ms old: if it were counted together with the
+// receiver's placements, prompts that have been prefilled since would seem to wait.
 func (n *Node) loadsFor(to wire.NodeID) []wire.WorkLoad {
 	sums := map[version.ID]*wire.WorkLoad{}
 	var out []wire.WorkLoad
@@ -256,13 +260,13 @@
 	return out
 }
 
-// handleStoreState takes what a router knows of the store.
+// handleStoreState handles what a router announces of the store.
 func (n *Node) handleStoreState(from wire.NodeID, w *wire.Work, now time.Time) {
 	n.handleStoreUnreachable(from, w.Blind, now)
 	n.noteNewerContent(from, newerContent{revision: w.Revision, table: w.Table}, now)
 }
 
-// handleHeartbeat takes a router's regular message.
+// handleHeartbeat handles a router's heartbeat.
 func (n *Node) handleHeartbeat(from wire.NodeID, w *wire.Work, now time.Time) {
 	n.applyLoads(from, w.Loads, now)
 	n.heardDemand(from, w.Demand)
@@ -282,7 +286,7 @@
 	}
 }
 
-// applyLoads replaces what a router states of its use of upstreams.
+// applyLoads replaces the load that a router states for the upstreams.
 func (n *Node) applyLoads(from wire.NodeID, loads []wire.WorkLoad, now time.Time) {
 	for _, p := range n.pools {
 		p.applyLoads(from, loads, now)
--- a/internal/dispatch/io.go
+++ b/internal/dispatch/io.go
@@ -11,67 +11,67 @@
 // Reason says why a request was refused before it was sent.
 type Reason uint8
 
-// The reasons of a refusal.
+// Reasons for a refusal.
 const (
 	ReasonNone       Reason = iota
 	ReasonNoUpstream        // the service has no upstream
-	ReasonCapacity          // its upstreams are busy beyond what the aim allows
+	ReasonCapacity          // no upstream can serve the request within its target latency
 	ReasonBudget            // the retry budget is spent
-	ReasonShare             // the organisation has had its share, and others go first
+	ReasonShare             // the organisation has used its share, and others go first
 	ReasonEvacuated         // all places of its upstreams are evacuated
-	ReasonCold              // its upstreams are cold, and have had what they take
-	ReasonRegions           // no upstream stands in the regions that are allowed
-	ReasonBackoff           // its upstreams want nothing of the router for a while (Retry-After)
+	ReasonCold              // its upstreams are cold, and have received all that cold ones may get
+	ReasonRegions           // no upstream is in an allowed region
+	ReasonBackoff           // its upstreams have asked this router to back off (Retry-After)
 )
 
-// String returns the reason as logs and answers show it.
+// String returns the reason as written in logs and responses.
 func (r Reason) String() string {
 	names := [...]string{"none", "no-upstream", "no-capacity-in-time", "retry-budget-spent", "share-used", "places-evacuated", "upstreams-cold", "no-upstream-in-allowed-regions", "upstreams-back-off"}
 	if int(r) >= len(names) {
-		return "unknown" // of a router of another release
+		return "unknown" // sent by a router of another release
 	}
 	return names[r]
 }
 
-// Request is what the decision needs to know of a caller's request. No content.
+// Request is what a decision needs to know of a caller's request. It has no content.
 type Request struct {
 	ID         uint64
 	Service    string
 	Org        string
 	Input      int // tokens of the prompt
-	Output     int // tokens expected
+	Output     int // expected tokens of the answer
 	Parts      []wire.PromptPart
 	Priority   int
 	TargetTime time.Time // an answer after this is late
 	Deadline   time.Time
-	Regions    routing.Regions // of the upstreams that may run it
+	Regions    routing.Regions // in which it may run
 }
 
-// Input is one thing that happened. The types below are all there are.
+// Input is an event for the node. The types below are all of them.
 type Input interface{ input() }
 
-// Receive is a datagram of another router, authenticated.
+// Receive is an authenticated datagram of another router.
 type Receive struct{ Datagram *wire.Datagram }
 
-// Arrive asks where to run a request.
+// Arrive asks for a placement of a new request.
 type Arrive struct{ Request Request }
 
-// Again asks for another upstream for a request that was placed, after the one
-// it had failed it (Event is a Note constant). With NoteUnused nothing was sent, and
-// it is no repeat.
+// Again asks for another upstream for a placed request, since the one it had failed
+// (Event is one of the wire.Note constants). With NoteUnused nothing was sent, and the
+// request does not count as a retry.
 type Again struct {
 	ID    uint64
 	Event uint8
 }
 
-// First says that a request's first event came, so long after it was sent.
+// First reports a request's first event. After is the time since the request was sent.
 type First struct {
 	ID    uint64
 	After time.Duration
 }
 
-// End ends a request. Event is a Note constant; one that was never placed is
-// given up with NoteUnused.
+// End ends a request. Event is one of the wire.Note constants; a request that was never
+// placed is abandoned with NoteUnused.
 type End struct {
 	ID    uint64
 	Event uint8
@@ -82,78 +82,78 @@
 	Table     *routing.Table
 	Instances []routing.Instance
 	Evacuated []routing.Evacuation
-	Revision  uint64 // of the last change known
-	AsOf      uint64 // every change up to this is known
-	// Part says that Instances are those that were put since the last catalogue, Ended those
-	// that ended, and that the table names the same services as the last one.
+	Revision  uint64 // of the last known change
+	AsOf      uint64 // every change up to this revision is known
+	// Incremental means that Instances has only what was put since the last catalogue, Ended
+	// has what ended since, and the table names the same services as the last one.
 	Incremental bool
 	Ended       []routing.Ended
 }
 
-// Sighted says that this router has read the store itself just now, with the
-// changes it found, nil for none. Whole says that it has listed all of it, so that it does
-// not know what changed. Back says that the store had not answered it before.
+// StoreRead reports that this router has just read the store itself. Delta has the changes
+// it found, nil for none. FullListing means that it listed the whole store, so that the
+// changes are not known. Recovered means that the store was unreachable before.
 type StoreRead struct {
 	Delta       *wire.StoreDelta
 	FullListing bool
 	Recovered   bool
 }
 
-// Unsighted says that the store did not answer this router.
+// StoreUnreachable reports that the store did not answer this router.
 type StoreUnreachable struct{}
 
-// Strained says whether this router is short of processor.
+// CPUOverload reports whether this router is overloaded (short of CPU).
 type CPUOverload struct{ On bool }
 
-// Seen says that every change of the store up to a revision is known.
+// CaughtUp reports that every change of the store up to a revision is known.
 type CaughtUp struct{ AsOf uint64 }
 
-// Kept is news of the prompt parts that an engine keeps: all of them when Full,
-// else what changed.
+// CacheUpdate reports which prompt parts an engine has cached: all of them if Full is set,
+// else the changes.
 type CacheUpdate struct {
-	Instance string // names its start: routing.Instance.Start
+	Instance string // identifies one start of the engine: routing.Instance.Start
 	Full     bool
 	Parts    []PartUpdate
 }
 
-// PartUpdate is a part and its tokens kept, 0 when it has left.
+// PartUpdate is a prompt part and its cached tokens, 0 if it was evicted.
 type PartUpdate struct {
 	Part   uint64
 	Tokens int
 }
 
-// Turned is work that this router refused without asking for a place, for want of
-// processor. It counts as asked for when capacity is shared.
+// LoadShed is work that this router refused without a placement request because it was
+// overloaded. It counts as demand when capacity is shared.
 type LoadShed struct{ Work []ShedWork }
 
-// ShedWork is the refused work of one organisation at one service.
+// ShedWork is the shed work of one organisation at one service.
 type ShedWork struct {
 	Service string
 	Org     string
-	Tokens  float64 // as Cost counts them
+	Tokens  float64 // as counted by Cost
 }
 
-// Cost is the work of a request as shares are counted: a token read counts once,
-// a token generated twice (the platform's measure of what its engines produce).
+// Cost returns the work of a request as it is counted for shares: each prompt token counts
+// once, each generated token twice (the platform's measure of engine output).
 func Cost(input, output int) float64 { return float64(input) + 2*float64(output) }
 
-// LeaveNotice says that an instance has told this router itself that it leaves.
+// LeaveNotice reports that an instance has told this router that it is leaving.
 type LeaveNotice struct{ Instance routing.Instance }
 
-// RetryAfter says that an instance has asked this router to send it nothing for a time.
+// RetryAfter reports that an instance has asked this router to send nothing for some time.
 type RetryAfter struct {
 	Instance routing.Instance
 	For      time.Duration
 }
 
-// Looked says that an instance takes no request now, by its own health: it is cold for a
-// time, or was not reached when that is 0.
+// Looked is the result of a health check of an instance that takes no request now: it is
+// cold for ColdFor, or was not reached if that is 0.
 type Looked struct {
 	Instance routing.Instance
 	ColdFor  time.Duration
 }
 
-// UpdateSettings changes what may change while the process runs.
+// UpdateSettings changes the settings that may change while the process runs.
 type UpdateSettings struct {
 	Seeds []wire.NodeID
 	Retry RetryRules
@@ -186,7 +186,7 @@
 
 func (Leave) input() {}
 
-// Output is one thing to do. The types below are all there are.
+// Output is an action for the driver. The types below are all of them.
 type Output interface{ output() }
 
 // Send is a datagram for another router.
@@ -195,27 +195,27 @@
 	Datagram *wire.Datagram
 }
 
-// Place says where a request runs.
+// Placement says where a request runs.
 type Placement struct {
 	ID         uint64
 	Instance   routing.Instance
-	Source     string // address of an engine to fetch kept prompt parts from, or ""
+	Source     string // address of an engine from which to fetch cached prompt parts, or ""
 	By         wire.NodeID
-	WaitMS     int    // expected behind others
-	ReadTokens int    // tokens expected to be read
-	PrefillMS  int    // expected from the end of the wait to the first event
+	WaitMS     int    // expected wait behind other requests
+	ReadTokens int    // expected tokens to prefill
+	PrefillMS  int    // expected time from the end of the wait to the first event
 	Revision   uint64 // of the store's content it was decided on here
-	// Cold says that the upstream is cold: the request is sent there by SendBy, or not at
+	// Cold says that the upstream is cold: the request must be sent by SendBy, or not at
 	// all.
 	Cold   bool
 	SendBy time.Time
-	// Look says that the upstream may have turned cold without this router's knowledge:
-	// its health is to be asked first.
+	// CheckHealth says that the upstream may have turned cold without this router's
+	// knowledge: its health must be checked first.
 	CheckHealth bool
 }
 
-// MaySend reports whether a request may still be sent where it was placed, to an upstream
-// whose entry says that it is cold until a time.
+// MaySend reports whether a request may still be sent to its upstream, which is cold until
+// coldUntil according to its entry.
 func (p *Placement) MaySend(coldUntil, now time.Time) bool {
 	if p.Cold {
 		return now.Before(p.SendBy)
@@ -223,50 +223,51 @@
 	return coldUntil.Sub(now) <= coldEndTolerance
 }
 
-// Refuse gives a request up; nothing of it was sent by this decision.
+// Refuse refuses a request. This decision sent nothing of it.
 type Refuse struct {
 	ID     uint64
 	Reason Reason
-	After  time.Duration // when to come back
+	After  time.Duration // when the caller should retry
 	By     wire.NodeID
 
-	WaitMS    int    // expected behind others at the best upstream
-	LimitMS   int    // that was allowed
-	PrefillMS int    // expected from the end of the wait to the first event
-	Over      uint32 // hundredths of its share that the organisation has had
+	WaitMS    int    // expected wait behind other requests at the best upstream
+	LimitMS   int    // allowed wait
+	PrefillMS int    // expected time from the end of the wait to the first event
+	Over      uint32 // used part of the organisation's share, in hundredths
 	Revision  uint64 // of the store's content it was decided on here
 }
 
-// Fetch asks the driver to read the store's content from a peer that knows more.
+// FetchContent asks the driver to fetch the store's content from a peer that has more of it.
 type FetchContent struct {
 	From     wire.NodeID
 	Revision uint64
 }
 
-// Apply hands over changes of the store's content that a peer has read.
+// ApplyDelta passes on changes of the store's content that a peer has read.
 type ApplyDelta struct {
 	From  wire.NodeID
 	Delta *wire.StoreDelta
 }
 
-// FetchContentEnded says that a read which Fetch asked for has ended, with or without content.
+// FetchContentEnded reports that a fetch has ended, with or without content.
 type FetchContentEnded struct{}
 
-// StoreRecovered says that a peer found the store back after an outage, at a time: what
-// is missing there may have lapsed meanwhile.
+// StoreRecovered reports that a peer reached the store again at a time, after an outage.
+// Entries that are missing there may have expired during the outage.
 type StoreRecovered struct {
 	From wire.NodeID
 	At   time.Time
 }
 
-// Gone says that an instance has left: idle connections to it can go. One that has started
-// again under its ID has ended for certain, with all that it was asked.
+// UpstreamGone reports that an instance is gone, so that idle connections to it can be
+// closed. If it was restarted under its ID, the former process has certainly ended, with all
+// its requests.
 type UpstreamGone struct {
 	Instance  routing.Instance
 	Restarted bool
 }
 
-// Event is a change of belief, for one log line.
+// Event is a state change that is written to the log as one line.
 type Event struct {
 	Name   string
 	Router wire.NodeID
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -1,12 +1,13 @@
-// Package dispatch decides where and whether each request runs, one by one, by
-// the work it brings: tokens to read, memory, parts of prompts that upstreams
-// keep. It is a pure state machine like internal/core: inputs by Step and Tick,
-// outputs as values from Ready, time as an argument.
+// Package dispatch decides for each request where it runs, or that it is refused, by the
+// work it causes: tokens to prefill, memory, and the parts of its prompt that upstreams
+// have cached. It is a pure state machine like internal/core: inputs go in by Step and
+// Tick, outputs come out of Ready as values, and the time is an argument.
 //
-// One router at a time is the scheduler of a service's engines, found by
-// rendezvous hashing over the live routers. All others ask it, and keep the same
-// model warm from what it tells them; when it does not answer in time, a router
-// decides for itself. Plain services are decided at once where a request came in.
+// One router at a time is the scheduler of a service's engines. It is found by rendezvous
+// hashing over the live routers. All other routers send it placement requests, and keep
+// their own copies of its model up to date from its messages; a router that gets no reply
+// in time decides locally. Requests for plain services are placed at once by the router
+// that received them.
 package dispatch
 
 import (
@@ -19,72 +20,77 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Timing of a node.
+// Timings of a node.
 const (
 	// TickInterval is how often the driver calls Tick.
 	TickInterval = 10 * time.Millisecond
-	// PauseThreshold is the gap between two ticks after which the node takes itself
-	// to have been frozen.
+	// PauseThreshold is the gap between two ticks from which the node assumes that the
+	// process was suspended.
 	PauseThreshold = time.Second
 
-	// overloadTickGap is the gap between ticks from which a router is late itself.
+	// overloadTickGap is the gap between two ticks above which this router counts as
+	// overloaded.
 	overloadTickGap = 3 * TickInterval
-	// minPlacementRetryDelay is after how long an unanswered ask is sent again: a datagram or
-	// its answer was lost. Ten round trips between places of a region.
+	// minPlacementRetryDelay is the shortest time after which an unanswered placement
+	// request is sent again, since the request or its reply may have been lost. It is ten
+	// round trips between places of a region.
 	minPlacementRetryDelay = 20 * time.Millisecond
-	// minPlacementTimeout is after how long a router decides for itself, and maxPlacementTimeout the same where
-	// answers are seen to take longer: a quarter of a patient target.
+	// minPlacementTimeout is how long a router waits for a placement reply before it decides
+	// locally. Where replies are seen to take longer it waits up to maxPlacementTimeout, a
+	// quarter of a long latency target.
 	minPlacementTimeout = 45 * time.Millisecond
 	maxPlacementTimeout = 250 * time.Millisecond
-	// silentRouterExclusion is how long a router that did not answer an ask is passed over,
-	// unless it is heard again.
+	// silentRouterExclusion is how long a router that did not answer a placement request is
+	// not chosen as scheduler, unless a message of it arrives earlier.
 	silentRouterExclusion = 2 * time.Second
-	// noteDelay is how long news wait for company on the way to the scheduler.
+	// noteDelay is how long notifications for a scheduler are collected before they are sent.
 	noteDelay = 8 * time.Millisecond
-	// contentFetchPause is the pause between two reads of the store's content from peers, and
-	// contentFetchTimeout how long one may take before another peer is asked beside it: hundreds of
-	// routers read some megabytes from the same few at once.
+	// contentFetchPause is the pause between two fetches of the store's content from peers.
+	// contentFetchTimeout is how long a fetch may take before another peer is asked as well:
+	// hundreds of routers fetch some megabytes from the same few peers at once.
 	contentFetchPause   = 100 * time.Millisecond
 	contentFetchTimeout = time.Second
-	// watcherFetchDelay is how long the own watch has to tell what a peer knows already;
-	// fetchJitter is over how long routers that do not watch spread their reads.
+	// watcherFetchDelay is how long a router that watches the store waits for its own watch
+	// to deliver what a peer already has. fetchJitter spreads the fetches of the other
+	// routers.
 	watcherFetchDelay = 200 * time.Millisecond
 	fetchJitter       = 40 * time.Millisecond
-	// maxReportedParts is how many lately read prompt parts a regular message tells at most.
+	// maxReportedParts bounds the recently prefilled prompt parts in one heartbeat.
 	maxReportedParts = 400
 )
 
-// Settings of a node, fixed for the process.
+// Settings are the settings of a node. Only those in UpdateSettings change while the process
+// runs.
 type Settings struct {
 	ID    wire.NodeID
 	Inc   wire.Incarnation
 	Place string
-	Power uint32 // thousandths of a core this router has, 0 when unknown
+	Power uint32 // CPU of this router in thousandths of a core, 0 if unknown
 	Seeds []wire.NodeID
-	First bool // the whole fleet starts for the first time: no caller waits for it
+	First bool // the whole fleet starts for the first time, so no callers are waiting
 	Retry RetryRules
 	Cold  ColdRules
-	// Regions is the region of each place. Requests that are bound to regions run in no
-	// other place.
+	// Regions maps places to regions. A request that is restricted to regions runs only in
+	// places of these regions.
 	Regions map[string]string
-	Seed    uint64 // of the node's own random numbers
+	Seed    uint64 // of the node's random numbers
 
-	Without Without // for measuring what each mechanism brings
+	Without Without // for ablation measurements
 }
 
-// Without leaves mechanisms out, to measure what each brings (internal/lab/tokens).
-// Routers leave out none.
+// Without switches mechanisms off, to measure what each one contributes
+// (internal/lab/tokens). Routers switch none off.
 type Without struct {
-	Shares    bool // organisations are all alike, whatever they had
-	Parts     bool // nothing is known of what engines keep
-	Fetch     bool // kept parts are never fetched from another engine
-	Refusals  bool // nobody is refused for the wait
-	Scheduler bool // each router decides alone
-	ConnReuse bool // kept connections are not preferred
-	Learning  bool // what is believed of engines' times before anything is seen stays
+	Shares    bool // all organisations are treated alike, whatever they have used
+	Parts     bool // the engines' prefix caches are not modelled
+	Fetch     bool // cached parts are never fetched from another engine
+	Refusals  bool // no request is refused for its wait
+	Scheduler bool // each router decides locally
+	ConnReuse bool // upstreams with an idle connection are not preferred
+	Learning  bool // the prior model of the engines' times stays in force
 }
 
-// Node is one router's dispatch state. One goroutine owns it.
+// Node is one router's dispatch state. It is owned by one goroutine.
 type Node struct {
 	settings         Settings
 	place            version.ID
@@ -94,20 +100,20 @@
 	inflight         map[uint64]*flight
 	budgets          map[version.ID]*retryBudget
 	rankings         map[version.ID]*ranking
-	silent           map[wire.NodeID]time.Time // until when a router is passed over
+	silent           map[wire.NodeID]time.Time // routers that are passed over, and until when
 	newerContent     map[wire.NodeID]newerContent
-	readParts        []wire.HeldPart // since the last regular message
+	readParts        []wire.HeldPart // prefilled since the last heartbeat
 	unreportedUsage  unaskedWork
 	demands          demands
 	shareUpdates     words
 	replyRTT         roundTrip
-	timedOutRequests map[uint64]givenUp // by the request's number
+	timedOutRequests map[uint64]givenUp // by request number
 	reports          reports
 	crashes          *quarantine.Tracker
 	quorum           quorum
 	leavingUpstreams leavingUpstreams
 
-	upstreamPlaces map[string]bool // in which upstreams stand
+	upstreamPlaces map[string]bool // places that have upstreams
 
 	notes      map[wire.NodeID][]wire.WorkNote
 	notesDue   time.Time
@@ -115,18 +121,18 @@
 	demandSums fleetDemands
 	startedAt  time.Time
 
-	firstReadDelay time.Duration // after the start, when no table was heard of
+	firstReadDelay time.Duration // after the start, while no store reading is known
 
 	store            storeReadings
 	fetchDue         time.Time
 	lastTick         time.Time
-	overloaded       bool // this router is short of processor, or its last tick came late
+	overloaded       bool // this router is short of CPU, or its last tick was late
 	cpuStrained      bool
-	lastReceivedAt   time.Time // any router
-	lastSilenceAt    time.Time // a scheduler was taken for silent
+	lastReceivedAt   time.Time // a datagram of any router
+	lastSilenceAt    time.Time // a scheduler was last taken for silent
 	lateness         lateness
 	recordedUsageDue time.Time
-	loadsUpdatedAt   time.Time // when stated loads were last worked off
+	loadsUpdatedAt   time.Time // when the stated loads were last reduced
 	leaving          bool
 	rnd              *rand.Rand
 	outbox           member.Outbox
@@ -134,26 +140,26 @@
 	Counts           Counts
 }
 
-// ahead is a peer's later knowledge of the store's content.
+// newerContent is what a peer has of the store's content beyond this router's.
 type newerContent struct {
 	revision uint64
-	table    uint64    // number, 0 when it was not told
-	due      time.Time // when to read from it, if the own watch has not told
+	table    uint64    // table number, 0 if the peer did not state it
+	due      time.Time // when to fetch it, if the own watch has not delivered it by then
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start. They are encoded as JSON under these names.
 type Counts struct {
 	Placed, Refused, Asked, AskedAgain, OwnDecision, OwnPlaced, AnswersLate, Woke, Ended, PlacedCold uint64
 }
 
-// New returns a node that has heard nobody.
-func New(set Settings, now time.Time) *Node {
-	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
-	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Power: set.Power}
+// New returns a node that knows no other router yet.
+func New(settings Settings, now time.Time) *Node {
+	rnd := rand.New(rand.NewPCG(settings.Seed, uint64(settings.Inc)))
+	self := wire.Update{ID: settings.ID, Inc: settings.Inc, Place: settings.Place, Power: settings.Power}
 	return &Node{
-		settings:         set,
-		place:            version.IDOf(set.Place),
-		members:          member.New(self, set.Seeds, now, rnd),
+		settings:         settings,
+		place:            version.IDOf(settings.Place),
+		members:          member.New(self, settings.Seeds, now, rnd),
 		pools:            map[version.ID]*pool{},
 		inflight:         map[uint64]*flight{},
 		budgets:          map[version.ID]*retryBudget{},
@@ -170,15 +176,15 @@
 		timedOutRequests: map[uint64]givenUp{},
 		reports:          newReports(),
 		leavingUpstreams: leavingUpstreams{},
-		crashes:          quarantine.NewTracker(set.ID),
+		crashes:          quarantine.NewTracker(settings.ID),
 		startedAt:        now,
-		firstReadDelay:   firstReadDelayOf(set, rnd),
+		firstReadDelay:   firstReadDelayOf(settings, rnd),
 		heartbeats:       heartbeats{schedulers: map[version.ID]wire.NodeID{}, schedulerSince: map[version.ID]time.Time{}, schedulingSince: map[version.ID]time.Time{}},
 		demandSums:       fleetDemands{},
 	}
 }
 
-// Step takes one input.
+// Step processes one input.
 func (n *Node) Step(in Input, now time.Time) {
 	n.detectPause(now)
 	switch in := in.(type) {
@@ -229,7 +235,7 @@
 	}
 }
 
-// Tick moves time on. The driver calls it every TickInterval.
+// Tick advances the time. The driver calls it every TickInterval.
 func (n *Node) Tick(now time.Time) {
 	n.overloaded = n.cpuStrained || now.Sub(n.lastTick) > overloadTickGap
 	n.detectPause(now)
@@ -250,7 +256,7 @@
 	n.tickHeartbeat(now)
 }
 
-// Ready returns what to do after the inputs since the last call.
+// Ready returns the outputs of all inputs since the last call.
 func (n *Node) Ready(now time.Time) []Output {
 	if len(n.notes) > 0 && !now.Before(n.notesDue) {
 		n.flushNotes()
@@ -262,8 +268,8 @@
 	return out
 }
 
-// detectPause notices that the process was frozen: what it believes of others'
-// load is old, so it lets others decide until it has heard them.
+// detectPause detects that the process was suspended. What the node knows of other routers'
+// load is outdated then, so it lets others decide until it has received their messages.
 func (n *Node) detectPause(now time.Time) {
 	gap := now.Sub(n.lastTick)
 	if gap <= PauseThreshold {
@@ -278,16 +284,18 @@
 	}
 }
 
+// applySettings applies the settings that may change while the process runs.
 func (n *Node) applySettings(in UpdateSettings, now time.Time) {
 	n.settings.Seeds = in.Seeds
 	n.members.Meet(in.Seeds, now)
 	n.settings.Cold = in.Cold
 	if in.Retry != n.settings.Retry {
 		n.settings.Retry = in.Retry
-		clear(n.budgets) // counted anew: a window's worth is allowed again at most
+		clear(n.budgets) // counting starts anew: at most one more window of retries is allowed
 	}
 }
 
+// leave begins a planned stop and announces it to all live routers.
 func (n *Node) leave() {
 	if n.leaving {
 		return
@@ -302,7 +310,7 @@
 	n.event(Event{Name: "leaving"})
 }
 
-// forgetDead forgets what routers had placed that are dead.
+// forgetDead drops what is known of dead routers: their placements, loads and demand.
 func (n *Node) forgetDead(now time.Time) {
 	if dead := n.members.Dead(); len(dead) > 0 {
 		n.forgetRouters(dead, now)
@@ -320,7 +328,7 @@
 	}
 }
 
-// forgetRouters forgets what routers had placed, stated and told that are gone.
+// forgetRouters drops the placements, stated loads and announcements of routers that are gone.
 func (n *Node) forgetRouters(gone map[wire.NodeID]bool, now time.Time) {
 	for _, p := range n.pools {
 		p.dropRouters(gone, now)
@@ -337,7 +345,7 @@
 
 func (n *Node) event(e Event) { n.out = append(n.out, e) }
 
-// work returns the work part of the datagram being filled for a router.
+// work returns the Work of the datagram that is being filled for a router.
 func (n *Node) work(id wire.NodeID) *wire.Work {
 	d := n.outbox.To(id)
 	if d.Work == nil {
@@ -346,15 +354,15 @@
 	return d.Work
 }
 
-// seal hands every datagram over to be sent.
+// sendDatagrams hands all filled datagrams over to be sent.
 func (n *Node) sendDatagrams() {
 	n.outbox.Seal(n.members, func(to wire.NodeID, d *wire.Datagram) {
 		n.out = append(n.out, Send{To: to, Datagram: d})
 	})
 }
 
-// Routers returns the live routers, this one among them.
+// Routers returns the live routers, including this one.
 func (n *Node) Routers() []wire.NodeID { return n.members.Live(true) }
 
-// Heard reports whether any other router was ever heard.
+// HasPeers reports whether any other live router is known.
 func (n *Node) HasPeers() bool { return len(n.members.Live(true)) > 1 }
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -7,11 +7,11 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// receive takes everything in a datagram.
+// receive handles a datagram of another router.
 func (n *Node) receive(d *wire.Datagram, now time.Time) {
 	if m := n.members.Get(d.From); m != nil {
 		if d.Inc < m.Inc {
-			return // a datagram of a process that has ended
+			return // from a former process of the router
 		}
 		if d.Inc > m.Inc && m.Inc != 0 {
 			n.forgetRouters(map[wire.NodeID]bool{d.From: true}, now)
@@ -32,7 +32,7 @@
 	}
 	if d.Join != nil {
 		n.outbox.AnswerCrashes(d.From, n.crashes.All(now))
-		n.attachStoreState(d.From, now) // it needs a table, and has heard of nobody yet
+		n.attachStoreState(d.From, now) // it needs a table, and knows no other router yet
 	}
 	if d.Work != nil {
 		n.receiveWork(d.From, d.Work, now)
@@ -93,14 +93,15 @@
 	}
 }
 
-// decideFor decides for another router, and reports whether the scheduler is told, which
-// this router is not: the other one took it for that.
+// decideFor decides a placement request of another router. reported says that this router is
+// not the service's scheduler, and reports the decision to the scheduler; the other router
+// took this one for the scheduler.
 //
-// In the scheduler's place nothing is given beyond shares: what engines have to read is
-// known to the scheduler alone, and all seem idle here. Load pattern: a late router took
-// its scheduler for silent; the one it asked instead placed 428 requests of its flood in
-// a second, of which few were begun.
-func (n *Node) decideFor(from wire.NodeID, p *pool, a *wire.WorkAsk, now time.Time) (v verdict, told bool) {
+// A router that decides in place of the scheduler grants nothing beyond shares: only the
+// scheduler knows the engines' backlogs, and to this router all engines seem idle. Load
+// pattern: an overloaded router took its scheduler for silent; the router that it asked
+// instead placed 428 requests of its flood in a second, of which few were started.
+func (n *Node) decideFor(from wire.NodeID, p *pool, a *wire.WorkAsk, now time.Time) (v verdict, reported bool) {
 	inPlace := p.engine != nil && n.schedulerOf(p.id, now) != n.settings.ID
 	if over := p.meter.over(a.Org, now); inPlace && over >= 1 && p.mayRefuse(a) {
 		n.countUnasked(p, a, false, now)
@@ -112,11 +113,12 @@
 	return v, n.countUnasked(p, a, v.choice != nil, now)
 }
 
-// answer decides for another router. One ask asked twice gets the same answer.
+// reply answers a placement request of another router. A request that is received twice gets
+// the same reply.
 //
-// A router without a table has no answer: the other one decides by itself. Load pattern: all
-// routers lose power, and some have read the table before their scheduler has. It told them
-// that the service had no upstream, and they refused their callers.
+// A router without a table sends no reply, so that the other one decides locally. Load
+// pattern: all routers lose power, and some have the table before their scheduler has. The
+// scheduler replied that the service had no upstream, and the routers refused their callers.
 func (n *Node) reply(from wire.NodeID, a *wire.WorkAsk, now time.Time) {
 	if n.catalogue.Table == nil {
 		return
@@ -131,7 +133,7 @@
 		w.Answers = append(w.Answers, r.reply)
 		return
 	}
-	v, told := n.decideFor(from, p, a, now)
+	v, reported := n.decideFor(from, p, a, now)
 	if v.choice == nil {
 		w.Answers = append(w.Answers, wire.WorkAnswer{No: a.No, Try: a.Try, AfterMS: uint32(v.after.Milliseconds()), Why: uint8(v.why),
 			WaitMS: uint32(v.wait), LimitMS: uint32(v.limit), OwnMS: uint32(v.ownMS), Over: v.over})
@@ -143,11 +145,11 @@
 		ans.Source = v.choice.source.id
 	}
 	r := p.runs[runKey{from, a.No}]
-	r.try, r.reply, r.reported = a.Try, ans, told
+	r.try, r.reply, r.reported = a.Try, ans, reported
 	w.Answers = append(w.Answers, ans)
 }
 
-// answered takes a scheduler's word on an own request.
+// handleReply handles a reply to a placement request of this router.
 func (n *Node) handleReply(from wire.NodeID, a wire.WorkAnswer, now time.Time) {
 	f := n.inflight[a.No]
 	n.answerTook(a.No, a.Try, f, now)
@@ -165,8 +167,8 @@
 	}
 	p, regions := n.pools[f.pool], regionIDs(f.req.Regions)
 	if p == nil || !p.acceptsReply(a, regions, now) {
-		// The scheduler knows an upstream that this router does not, or does not yet
-		// know that it is leaving, evacuated or cold.
+		// The scheduler knows an upstream that is unknown here, or does not yet know that it
+		// is leaving, evacuated or cold.
 		w := n.work(from)
 		w.Notes = append(w.Notes, wire.WorkNote{No: a.No, Event: wire.NoteUnused})
 		if p == nil {
@@ -180,8 +182,8 @@
 	n.assign(f, p.upstreams[a.Upstream], p.fetchSource(a, regions), from, expectation{work: int(a.Work), waitMS: int(a.WaitMS), ownMS: int(a.OwnMS), cold: a.Cold, look: a.Look}, now)
 }
 
-// fetchSource returns the engine to fetch kept parts from, or nil where this router knows that
-// it must not be used.
+// fetchSource returns the engine from which to fetch cached parts, or nil if this router knows
+// that it must not be used.
 func (p *pool) fetchSource(a wire.WorkAnswer, regions []version.ID) *upstream {
 	u := p.upstreams[a.Source]
 	if u == nil || u.evacuated || !u.mayRun(regions) {
@@ -190,7 +192,7 @@
 	return u
 }
 
-// acceptsReply reports whether a request may go where the scheduler placed it, by what
+// acceptsReply reports whether a request may be sent where the scheduler placed it, as far as
 // this router knows.
 func (p *pool) acceptsReply(a wire.WorkAnswer, regions []version.ID, now time.Time) bool {
 	u := p.upstreams[a.Upstream]
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -12,8 +12,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// pool is one service's upstreams as this router models them. Every router has
-// the same model; the service's scheduler is the one whose word counts.
+// pool is this router's model of one service's upstreams. Every router keeps such a model;
+// the decisions are those of the service's scheduler.
 type pool struct {
 	service   string
 	id        version.ID
@@ -21,36 +21,36 @@
 	upstreams map[version.ID]*upstream
 	order     []*upstream // by ID
 	places    map[version.ID]*placeSet
-	// placeOrder is the places sorted, nil after a change of them.
+	// placeOrder has the places in sorted order, nil after a change.
 	placeOrder    []*placeSet
 	holders       holders
 	look          look
-	openUpstreams int // that are neither leaving nor evacuated
-	// statedBy are the upstreams at which a router states a load, and statementSeq numbers the
-	// statements.
+	openUpstreams int // neither leaving nor evacuated
+	// statedBy has the upstreams for which a router last stated a load. statementSeq numbers
+	// the statements.
 	statedBy         map[wire.NodeID][]*upstream
 	statementSeq     uint64
-	hasEvacuations   bool // some place was evacuated when that was looked at last
+	hasEvacuations   bool // some place was evacuated as of the last catalogue
 	runs             map[runKey]*run
 	learner          *prefill.Learner // of the engines' times to the first event
-	loggedModel      prefill.Model    // as it was written to the log last
-	aim              float64          // the strictest target of the routes to it, in milliseconds, 0 when unknown
+	loggedModel      prefill.Model    // as last written to the log
+	aim              float64          // the strictest target latency of the routes to it, in milliseconds, 0 if unknown
 	baseline         usualTime        // of a plain service
-	meter            *meter           // of the fleet, as far as this router decides
-	here             *meter           // of what came in at this router, whoever decided
-	busy             busyMeter        // of reading
+	meter            *meter           // of the whole fleet, as far as this router decides
+	here             *meter           // of the requests received by this router, whoever decided
+	busy             busyMeter        // of prefilling
 	urgency          urgency
-	late             map[wire.NodeID]bool // routers that said so
-	withoutScheduler bool                 // the decision being made is not the fleet's scheduler's
+	late             map[wire.NodeID]bool // routers that reported themselves overloaded
+	withoutScheduler bool                 // the current decision is not made by the fleet's scheduler
 	without          Without
 
-	regions     map[string]string // of places
-	cold        routing.Cold      // what its upstreams take while they are cold
-	mayMissCold bool              // in that decision, news of cold ones may be missed
-	coldLimit   int               // requests a second at a cold one in the decision being made
+	regions     map[string]string // by place
+	cold        routing.Cold      // limits for cold upstreams
+	mayMissCold bool              // in the current decision: updates on cold upstreams may be missing
+	coldLimit   int               // in the current decision: requests per second at a cold upstream
 
 	takeover takeoverState
-	backoffs backoffs // of this router
+	backoffs backoffs // for this router
 }
 
 func newPool(s *routing.Service, tokensPerSecond float64) *pool {
@@ -75,14 +75,14 @@
 	}
 }
 
-// setInstances takes the list of the service's instances. It returns those that
-// have left it.
+// setInstances applies the full list of the service's instances. It returns the upstreams
+// that are no longer listed.
 func (p *pool) setInstances(list []routing.Instance) (gone []*upstream) {
 	listed := make(map[version.ID]routing.Instance, len(list))
 	for _, inst := range list {
 		listed[version.IDOf(inst.Start())] = inst
 	}
-	// In the order of IDs, each is put at the end of the sorted lists.
+	// In the order of IDs, so that each is appended to the sorted lists.
 	for _, id := range slices.Sorted(maps.Keys(listed)) {
 		p.put(listed[id])
 	}
@@ -97,7 +97,7 @@
 	return gone
 }
 
-// put takes an instance, new or with another entry.
+// put adds an instance or updates its entry.
 func (p *pool) put(inst routing.Instance) {
 	id := version.IDOf(inst.Start())
 	if u := p.upstreams[id]; u != nil {
@@ -117,7 +117,7 @@
 	p.placeOf(inst.Place).add(u)
 }
 
-// drop forgets an upstream and what runs there.
+// drop removes an upstream and the runs at it.
 func (p *pool) drop(u *upstream) {
 	for _, r := range u.runs {
 		delete(p.runs, r.key)
@@ -136,7 +136,7 @@
 	}
 }
 
-// note takes the news of a run.
+// note applies a notification on the progress of a run.
 func (p *pool) note(from wire.NodeID, n wire.WorkNote, now time.Time) {
 	r := p.runs[runKey{from, n.No}]
 	if r == nil {
@@ -160,20 +160,21 @@
 	}
 }
 
-// refundUnstarted returns what was counted for a run that its upstream never began: its
-// organisation got nothing for it. Engines that crash under one organisation's requests
-// would else cut its share twice.
+// refundUnstarted gives an organisation back the cost of a run that its upstream never
+// started. Otherwise engines that crash under one organisation's requests would reduce its
+// share twice.
 func (p *pool) refundUnstarted(r *run, n wire.WorkNote, now time.Time) {
 	if r.neverStarted(n) {
 		p.meter.grant(r.org, -r.cost, now)
 	}
 }
 
-// neverStarted reports whether a note ends a run that has had no event.
+// neverStarted reports whether a notification ends a run that had no event.
 func (r *run) neverStarted(n wire.WorkNote) bool {
 	return !r.firstEvent && (wire.IsFailure(n.Event) || n.Event == wire.NoteUnused)
 }
 
+// firstEvent records the first event of a run, gotMS after the request was sent.
 func (p *pool) firstEvent(r *run, gotMS float64, now time.Time) {
 	if r.firstEvent {
 		return
@@ -199,6 +200,7 @@
 	r.up.fit(now)
 }
 
+// forget ends a run. whole says that its prompt was prefilled.
 func (p *pool) forget(k runKey, whole bool, now time.Time) {
 	r := p.runs[k]
 	if r == nil {
@@ -208,7 +210,7 @@
 	r.up.endRun(r, whole, now)
 }
 
-// lost forgets everything that routers had placed or stated: they are gone.
+// dropRouters drops all placements and stated loads of routers that are gone.
 func (p *pool) dropRouters(gone map[wire.NodeID]bool, now time.Time) {
 	p.forgetWhere(func(r *run) bool { return gone[r.key.node] }, now)
 	for id := range gone {
@@ -216,7 +218,8 @@
 	}
 }
 
-// expire forgets runs whose end was not heard, and lets upstreams leave the working set.
+// expire drops runs whose end was never reported, and takes idle upstreams out of the
+// working set.
 func (p *pool) expire(now time.Time) {
 	p.forgetWhere(func(r *run) bool { return now.After(r.until) }, now)
 	for _, set := range p.places {
@@ -224,7 +227,7 @@
 	}
 }
 
-// applyLoads replaces what a router states of its use of upstreams.
+// applyLoads replaces the load that a router states for the upstreams.
 func (p *pool) applyLoads(from wire.NodeID, loads []wire.WorkLoad, now time.Time) {
 	p.statementSeq++
 	var stated []*upstream
@@ -250,8 +253,8 @@
 	p.statedBy[from] = stated
 }
 
-// forgetWhere forgets runs in the order of their keys, so that the same inputs give the
-// same decisions.
+// forgetWhere ends runs in the order of their keys, so that the same inputs give the same
+// decisions.
 func (p *pool) forgetWhere(which func(*run) bool, now time.Time) {
 	var keys []runKey
 	for k, r := range p.runs {
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -7,22 +7,24 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// How news of the store's content reach a large fleet. The few routers that read the store
-// tell the relays of each place, two routers of most processor there, and everyone in their
-// own; a relay passes on what follows what it knows. Where content has to be read, a relay
-// reads it from whoever knows it, and tells its place, whose routers read it from the relay.
-// So each change and each table crosses into a place a few times at any size.
+// How changes of the store's content are distributed in a large fleet. The few routers that
+// read the store send changes to the relays of each place (the two routers with the most CPU
+// there) and to all routers of their own place. A relay passes on changes that follow the
+// content it has. Where content has to be fetched, a relay fetches it from any router that has
+// it and announces it to its place, whose routers fetch it from the relay. So each change and
+// each table is sent into a place only a few times, whatever the size of the fleet.
 //
-// Load pattern: hundreds of routers in a few places before thousands of upstreams. If each
-// reads each new table from one of the three that read the store, and each of the three
-// tells each change to all, what crosses between places grows with routers times upstreams.
+// Load pattern: hundreds of routers in a few places, and thousands of upstreams. If each
+// router fetched each new table from one of the three that read the store, and each of the
+// three sent each change to all routers, the traffic between places would grow with the
+// number of routers times the number of upstreams.
 
 const (
-	// relaysPerPlace is how many relays a place has: one may be gone, or be lost with a
-	// datagram.
+	// relaysPerPlace is two since one relay may be down, or a datagram to it may be lost.
 	relaysPerPlace = 2
-	// relayGracePeriod is how long a router that hears of a change from another place leaves it to
-	// its relays: reading, decoding and telling a table of some megabytes.
+	// relayGracePeriod is how long a router that learns of a change from another place waits
+	// for the relays of its place, which have to fetch, decode and announce a table of some
+	// megabytes.
 	relayGracePeriod = 500 * time.Millisecond
 )
 
@@ -50,7 +52,7 @@
 	return slices.Contains(n.relays(now)[n.settings.Place], n.settings.ID)
 }
 
-// placeOf returns a router's place, "" while it is not known.
+// placeOf returns a router's place, "" if it is unknown.
 func (n *Node) placeOf(id wire.NodeID) string {
 	if id == n.settings.ID {
 		return n.settings.Place
@@ -61,10 +63,10 @@
 	return ""
 }
 
-// InSamePlace reports whether a router stands in this router's place.
+// InSamePlace reports whether a router is in this router's place.
 func (n *Node) InSamePlace(id wire.NodeID) bool { return n.placeOf(id) == n.settings.Place }
 
-// neighbours returns the live routers of the own place, without this one.
+// neighbours returns the other live routers of the own place.
 func (n *Node) neighbours() []wire.NodeID {
 	var out []wire.NodeID
 	for _, id := range n.members.Live(true) {
@@ -75,7 +77,8 @@
 	return out
 }
 
-// changeRecipients returns whom a router tells that has read a change from the store.
+// changeRecipients returns the routers to which a router sends a change that it has read from
+// the store.
 func (n *Node) changeRecipients(now time.Time) []wire.NodeID {
 	if !n.isLarge() {
 		return n.members.Live(true)
@@ -90,7 +93,7 @@
 	return out
 }
 
-// sendDelta tells routers of a change of the store's content.
+// sendDelta sends a change of the store's content to routers.
 func (n *Node) sendDelta(to []wire.NodeID, d *wire.StoreDelta, now time.Time) {
 	for _, id := range to {
 		if id != n.settings.ID {
@@ -100,7 +103,8 @@
 	}
 }
 
-// relayDelta tells the own place of a change that a relay has heard from another one.
+// relayDelta passes a change on to the own place, if this router is a relay and received it
+// from another place.
 func (n *Node) relayDelta(from wire.NodeID, d *wire.StoreDelta, now time.Time) {
 	if d.To <= n.store.relayedUpTo || n.InSamePlace(from) || !n.isRelay(now) {
 		return
@@ -109,8 +113,8 @@
 	n.sendDelta(n.neighbours(), d, now)
 }
 
-// announceFetched tells the own place that a relay has read content which they may read
-// from it.
+// announceFetched announces to the own place that this router, a relay, has fetched content
+// from which the others may fetch theirs.
 func (n *Node) announceFetched(before uint64, now time.Time) {
 	if n.catalogue.AsOf <= before || !n.store.fetchPending {
 		return
@@ -122,8 +126,8 @@
 	n.offerContent(n.neighbours(), now)
 }
 
-// offerContent tells routers up to where this one knows the store's content, which they may
-// read from it.
+// offerContent announces to routers up to which revision this router has the store's content,
+// which they may fetch from it.
 func (n *Node) offerContent(to []wire.NodeID, now time.Time) {
 	for _, id := range to {
 		if id != n.settings.ID {
@@ -132,8 +136,8 @@
 	}
 }
 
-// fetchDelay is how long a router leaves it to others to tell what a peer knows already: to
-// its own watch of the store, or to the relays of its place.
+// fetchDelay returns how long a router waits until it fetches content that a peer has: its own
+// watch of the store, or the relays of its place, may deliver it before.
 func (n *Node) fetchDelay(from wire.NodeID, now time.Time) time.Duration {
 	spread := time.Duration(n.rnd.Int64N(int64(fetchJitter)))
 	switch {
@@ -145,8 +149,9 @@
 	return spread
 }
 
-// contentSource returns whom to read from where a peer is ahead. A router without a table asks
-// the relays of its place and the peer in turn: it may be the first that knows of them.
+// contentSource returns the router to fetch from when a peer has newer content. A router
+// without a table alternates between the relays of its place and the peer: the relays may not
+// know of the content yet.
 func (n *Node) contentSource(peer wire.NodeID, now time.Time) wire.NodeID {
 	relays := n.relays(now)[n.settings.Place]
 	if n.catalogue.Table != nil || n.InSamePlace(peer) || len(relays) == 0 || slices.Contains(relays, n.settings.ID) {
@@ -159,9 +164,9 @@
 	return relays[n.store.fetchAttempts/2%len(relays)]
 }
 
-// Another returns a router to read the whole content from in place of one whose answer
-// cannot be used: a relay of the own place, or any other router. It is empty when there is
-// none.
+// AlternativeSource returns a router from which to fetch the whole content instead of one whose
+// answer cannot be used: a relay of the own place, or any other router. It is empty if there
+// is none.
 func (n *Node) AlternativeSource(than wire.NodeID, now time.Time) wire.NodeID {
 	usable := func(id wire.NodeID) bool { return id != n.settings.ID && id != than }
 	for _, id := range n.relays(now)[n.settings.Place] {
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -11,57 +11,57 @@
 )
 
 const (
-	// watchers is how many routers read the platform's store; the others hear of
-	// changes from them. Calls are priced, and the store's rate grows more slowly
-	// than the fleet.
+	// watcherCount is how many routers read the platform's store; the others receive changes
+	// from them. Calls to the store cost money, and its call rate grows more slowly than the
+	// fleet.
 	watcherCount = 3
-	// storeReadInterval is how often a watcher reads the store when nothing changes:
-	// internal/process waits a second for a change, and gathers for 150 ms.
+	// storeReadInterval is how often a watcher reads the store while nothing changes:
+	// internal/process waits a second for a change, and collects changes for 150 ms.
 	storeReadInterval = 1150 * time.Millisecond
-	// storeReadingSlack is for the way of a sight through the fleet, beside half a period
-	// of regular messages. The sum is well within the 2 to 3 s in which a router
-	// must follow the store though it is cut off from its peers.
+	// storeReadingSlack allows for the time that a reading takes to reach every router, in
+	// addition to half a heartbeat interval. The sum is well within the 2 to 3 s in which a
+	// router must follow the store even when it is cut off from its peers.
 	storeReadingSlack = 400 * time.Millisecond
-	// storeUnreachableTTL is how long a router that the store did not answer is not chosen to
-	// watch; then it is tried again.
+	// storeUnreachableTTL is how long a router that could not reach the store is not chosen
+	// as a watcher; then it is tried again.
 	storeUnreachableTTL = 5 * time.Second
-	// recoveryNoticeDuration is how long the return of the store is told: as long as entries that
-	// lapsed in an outage are given time.
+	// recoveryNoticeDuration is how long the recovery of the store is announced: as long as
+	// the grace period for entries that expired in an outage.
 	recoveryNoticeDuration = routing.LapseGrace
-	// watchSettleDelay is how long after its start a router that is no seed leaves the store to
-	// others that it hears of: until it knows most routers it takes itself for one of those
-	// chosen. minFirstReadDelay and firstReadJitter are when such a router that has heard of
-	// no reading looks for itself in the fleet's first start. Load pattern: 195 routers start
-	// together before the operators' first table; each listed the store and watched it until
-	// the table came.
+	// watchSettleDelay is how long after its start a router that is not a seed leaves the
+	// store to other live routers: until it knows most routers it would choose itself as a
+	// watcher. minFirstReadDelay and firstReadJitter say when such a router reads the store
+	// itself in the first start of the fleet, if it has received no reading. Load pattern:
+	// 195 routers start together before the operators' first table; each listed the store
+	// and watched it until the table came.
 	watchSettleDelay  = 1500 * time.Millisecond
 	minFirstReadDelay = 400 * time.Millisecond
 	firstReadJitter   = 400 * time.Millisecond
-	// maxRestartReadDelay is the longest that a router which is no seed waits for a reading of
-	// others when it starts again and callers wait for it: a listing by one of them, and the
-	// way of its news. Load pattern: all routers of a fleet lose power, and the seeds come back
-	// last: some of the others look early, and not all of them.
+	// maxRestartReadDelay is the longest time that a restarted router that is not a seed
+	// waits for a reading of others while callers wait for it: one listing, and the time to
+	// announce it. Load pattern: all routers of a fleet lose power, and the seeds come back
+	// last, so some of the others must read early, but not all of them.
 	maxRestartReadDelay = 300 * time.Millisecond
 )
 
-// storeService ranks the routers that read the store.
+// storeService is the service ID by which the routers that read the store are ranked.
 var storeService = serviceID("the platform's store")
 
-// storeReadings is what this router knows of the fleet's readings of the store.
+// storeReadings is what this router knows of the readings of the store in the fleet.
 type storeReadings struct {
 	latest        wire.StoreSight
-	at            time.Time // of the latest
+	at            time.Time // of latest
 	byReader      map[wire.NodeID]readingID
-	ownSeq        uint32 // of the own last one
+	ownSeq        uint32 // of this router's last reading
 	failedAt      time.Time
-	recoveredAt   time.Time                 // some router found the store back
-	relayedUpTo   uint64                    // up to which revision this relay has passed changes on
-	fetchPending  bool                      // content was asked of a peer, and has not come yet
-	fetchAttempts int                       // reads of a router that has no table yet
-	unreachable   map[wire.NodeID]time.Time // routers that the store does not answer, as told
+	recoveredAt   time.Time                 // when some router last reached the store after an outage
+	relayedUpTo   uint64                    // revision up to which this relay has passed changes on
+	fetchPending  bool                      // content was requested from a peer and has not arrived
+	fetchAttempts int                       // fetches of a router that has no table yet
+	unreachable   map[wire.NodeID]time.Time // when routers last reported the store unreachable
 }
 
-// reading names a router's last reading heard of.
+// readingID identifies a router's latest known reading.
 type readingID struct {
 	inc wire.Incarnation
 	seq uint32
@@ -71,7 +71,7 @@
 	return storeReadings{byReader: map[wire.NodeID]readingID{}, unreachable: map[wire.NodeID]time.Time{}}
 }
 
-// told is the latest reading as it is passed on, or nil before any.
+// current returns the latest reading as it is announced, or nil before any.
 func (s *storeReadings) current(now time.Time) *wire.StoreSight {
 	if s.at.IsZero() {
 		return nil
@@ -85,18 +85,19 @@
 	return &out
 }
 
-// isUnreachable reports whether the store did not answer this router lately.
+// isUnreachable reports whether the store recently did not answer this router.
 func (s *storeReadings) isUnreachable(now time.Time) bool {
 	return !s.failedAt.IsZero() && now.Sub(s.failedAt) < storeUnreachableTTL
 }
 
-// maxReadingAge is the age of the latest reading from which a router looks for itself.
+// maxReadingAge returns the age of the latest reading from which a router reads the store
+// itself.
 func maxReadingAge(routers int) time.Duration {
 	return storeReadInterval + storeReadingSlack + heartbeatPeriod(routers)/2
 }
 
-// Watches reports whether this router is to read the store itself: it is one of
-// the watchers, or nobody it hears of has read the store lately.
+// Watches reports whether this router has to read the store itself: it is one of the
+// watchers, or has received no recent reading.
 func (n *Node) Watches(now time.Time) bool {
 	live := n.members.Live(false)
 	settled := n.isSeed() || now.Sub(n.startedAt) >= watchSettleDelay
@@ -109,17 +110,17 @@
 	return now.Sub(n.store.at) >= maxReadingAge(len(live))
 }
 
-// listingSpacing is the time between the first looks of two routers of a large fleet in which
-// nobody has read the store yet: 20 listings a second fit well into the store's link, each of
-// some megabytes.
+// listingSpacing is the time between the first listings of two routers of a large fleet in
+// which no reading of the store is known yet: 20 listings per second, each of some megabytes,
+// are well within the capacity of the store's link.
 //
-// Load pattern: hundreds of routers lose power before thousands of entries. A listing takes
-// longer than they wait for one another, so all list at once, the store's link is full, each
-// page takes longer than its time, and none has a table.
+// Load pattern: hundreds of routers lose power while the store has thousands of entries. A
+// listing takes longer than the routers wait for one another, so all list at once, the
+// store's link is saturated, every page times out, and no router gets a table.
 const listingSpacing = 50 * time.Millisecond
 
-// listingDelay is how long a router leaves the store to those before it in the order in which
-// routers are chosen to read it.
+// listingDelay returns how long a router leaves the store to those that come before it in the
+// ranking of watchers.
 func (n *Node) listingDelay(now time.Time) time.Duration {
 	if !n.isLarge() {
 		return 0
@@ -128,33 +129,34 @@
 	return time.Duration(max(0, turn)) * listingSpacing
 }
 
-// firstReadDelayOf is how long a router that has heard of no reading of the store waits.
-func firstReadDelayOf(set Settings, rnd *rand.Rand) time.Duration {
+// firstReadDelayOf returns how long a router waits before its first reading of the store, if
+// it receives none of others.
+func firstReadDelayOf(settings Settings, rnd *rand.Rand) time.Duration {
 	switch {
-	case isSeed(set):
+	case isSeed(settings):
 		return 0
-	case set.First:
+	case settings.First:
 		return minFirstReadDelay + time.Duration(rnd.Int64N(int64(firstReadJitter)))
 	}
-	// The fourth root lets one in sixteen look within half of the time: a few of many, and
-	// one of a few soon.
+	// By the fourth root one of sixteen routers reads within half of the time: a few of a
+	// large fleet, and one of a small fleet soon.
 	return time.Duration(math.Pow(rnd.Float64(), 1.0/4) * float64(maxRestartReadDelay))
 }
 
-// isSeed reports whether others begin with this router, or it has none to begin with.
+// isSeed reports whether this router is a seed, or has no seeds.
 func (n *Node) isSeed() bool { return isSeed(n.settings) }
 
-func isSeed(set Settings) bool {
-	return len(set.Seeds) == 0 || slices.Contains(set.Seeds, set.ID)
+func isSeed(settings Settings) bool {
+	return len(settings.Seeds) == 0 || slices.Contains(settings.Seeds, settings.ID)
 }
 
-// IsWatcher reports whether this router is one of those chosen to watch.
+// IsWatcher reports whether this router is one of the chosen watchers.
 func (n *Node) IsWatcher(now time.Time) bool {
 	return slices.Contains(n.chosenWatchers(now), n.settings.ID)
 }
 
-// chosenWatchers returns those who watch, ranked as for a service of the store's name;
-// those that the store does not answer are passed over while there are others.
+// chosenWatchers returns the watchers: the first routers in the ranking of the store's service
+// ID. Those that cannot reach the store are passed over while there are others.
 func (n *Node) chosenWatchers(now time.Time) []wire.NodeID {
 	ranked := n.ranked(storeService, now)
 	var out []wire.NodeID
@@ -172,8 +174,8 @@
 	return ranked[:min(watcherCount, len(ranked))]
 }
 
-// wouldBeWatcher reports whether this router would be one of those chosen if the store
-// answered it, by what is known of the others.
+// wouldBeWatcher reports whether this router would be chosen as a watcher if it could reach
+// the store.
 func (n *Node) wouldBeWatcher(now time.Time) bool {
 	before := 0
 	for _, id := range n.ranked(storeService, now) {
@@ -187,7 +189,7 @@
 	return false
 }
 
-// blinded reports whether the store does not answer a router, as far as is known.
+// isStoreUnreachable reports whether the store is known not to answer a router.
 func (n *Node) isStoreUnreachable(id wire.NodeID, now time.Time) bool {
 	if id == n.settings.ID {
 		return n.store.isUnreachable(now)
@@ -196,15 +198,16 @@
 	return told && now.Sub(at) < storeUnreachableTTL
 }
 
-func (n *Node) handleStoreUnreachable(from wire.NodeID, blind bool, now time.Time) {
-	if blind {
+// handleStoreUnreachable records whether a router reports the store unreachable.
+func (n *Node) handleStoreUnreachable(from wire.NodeID, unreachable bool, now time.Time) {
+	if unreachable {
 		n.store.unreachable[from] = now
 	} else {
 		delete(n.store.unreachable, from)
 	}
 }
 
-// sighted notes that the store was read here, and tells everyone what changed.
+// storeRead records a reading of the store by this router, and announces what changed.
 func (n *Node) storeRead(in StoreRead, now time.Time) {
 	s := &n.store
 	s.ownSeq++
@@ -217,11 +220,11 @@
 		n.sendDelta(n.changeRecipients(now), in.Delta, now)
 	}
 	if in.FullListing {
-		n.offerContent(n.changeRecipients(now), now) // what changed is not known
+		n.offerContent(n.changeRecipients(now), now) // the changes are not known
 	}
 }
 
-// handleReading takes a reading that a peer knows of, if it is news here.
+// handleReading records a reading that a peer announces, if it is newer than the known one.
 func (n *Node) handleReading(from wire.NodeID, t *wire.StoreSight, now time.Time) {
 	s := &n.store
 	if old, known := s.byReader[t.By]; t.By == n.settings.ID || known && (t.Inc < old.inc || t.Inc == old.inc && t.No <= old.seq) {
@@ -234,14 +237,14 @@
 	if t.BackMS == 0 {
 		return
 	}
-	if back := now.Add(-time.Duration(t.BackMS-1) * time.Millisecond); back.Sub(s.recoveredAt) > recoveryNoticeDuration {
-		s.recoveredAt = back
-		n.out = append(n.out, StoreRecovered{From: from, At: back})
+	if recoveredAt := now.Add(-time.Duration(t.BackMS-1) * time.Millisecond); recoveredAt.Sub(s.recoveredAt) > recoveryNoticeDuration {
+		s.recoveredAt = recoveredAt
+		n.out = append(n.out, StoreRecovered{From: from, At: recoveredAt})
 	}
 }
 
-// handleDelta takes a peer's news of the store's content: it is applied when it
-// follows what is known here, and fetched whole when it does not.
+// handleDelta handles a peer's changes of the store's content. They are applied if they
+// follow the known content; otherwise the whole content is fetched.
 func (n *Node) handleDelta(from wire.NodeID, d *wire.StoreDelta, now time.Time) {
 	if d.To <= n.catalogue.AsOf {
 		return
@@ -254,32 +257,32 @@
 	n.noteNewerContent(from, newerContent{revision: d.To}, now)
 }
 
-// compare notes whether a peer knows a later change of the store's content than
-// this router has had the chance to see itself, or has a newer table.
-func (n *Node) noteNewerContent(from wire.NodeID, told newerContent, now time.Time) {
-	if told.revision == 0 || n.hasContent(told) {
+// noteNewerContent records whether a peer has a later change of the store's content, or a
+// newer table, than this router.
+func (n *Node) noteNewerContent(from wire.NodeID, theirs newerContent, now time.Time) {
+	if theirs.revision == 0 || n.hasContent(theirs) {
 		delete(n.newerContent, from)
 		return
 	}
 	a, known := n.newerContent[from]
-	if known && a.revision >= told.revision && a.table >= told.table {
+	if known && a.revision >= theirs.revision && a.table >= theirs.table {
 		return
 	}
-	told.due = now.Add(n.fetchDelay(from, now))
-	if known && a.due.Before(told.due) {
-		told.due = a.due
+	theirs.due = now.Add(n.fetchDelay(from, now))
+	if known && a.due.Before(theirs.due) {
+		theirs.due = a.due
 	}
-	n.newerContent[from] = told
+	n.newerContent[from] = theirs
 }
 
-// knows reports whether a peer has nothing that this router lacks. A router that has just
-// listed a store which came back from a copy may have an older table than its peers, as of
-// the same revision.
+// hasContent reports whether this router has all that a peer has. After the store was
+// restored from a copy, a router that has just listed it may have an older table than its
+// peers as of the same revision.
 func (n *Node) hasContent(a newerContent) bool {
 	return n.catalogue.Table != nil && a.revision <= n.catalogue.AsOf && a.table <= n.tableNumber()
 }
 
-// tableNumber is the number of the table in force, 0 before any.
+// tableNumber returns the number of the current table, 0 before any.
 func (n *Node) tableNumber() uint64 {
 	if n.catalogue.Table == nil {
 		return 0
@@ -287,7 +290,7 @@
 	return n.catalogue.Table.Number
 }
 
-// tickFetch reads the content from a peer that has been ahead for long enough.
+// tickFetch fetches content from a peer that has had newer content for long enough.
 func (n *Node) tickFetch(now time.Time) {
 	if now.Before(n.fetchDue) {
 		return
@@ -299,14 +302,14 @@
 	n.fetchDue = now.Add(contentFetchTimeout)
 	n.store.fetchPending = true
 	n.out = append(n.out, FetchContent{From: n.contentSource(best, now), Revision: n.newerContent[best].revision})
-	// The next read, if this one fails, is from another.
+	// If this fetch fails, the next one is from another peer.
 	a := n.newerContent[best]
 	a.due = now.Add(2 * contentFetchTimeout)
 	n.newerContent[best] = a
 }
 
-// bestContentPeer returns the peer to read from: one of the own place before all others, and of
-// those the one that knows most. It is empty when nobody has been ahead for long enough.
+// bestContentPeer returns the peer to fetch content from: one in the own place before all
+// others, and among those the one with the latest content. It is empty if no fetch is due.
 func (n *Node) bestContentPeer(now time.Time) (best wire.NodeID) {
 	for id, a := range n.newerContent {
 		if n.hasContent(a) {
@@ -321,7 +324,7 @@
 	return best
 }
 
-// prefersContentOf reports whether one peer is the better one to read the content from.
+// prefersContentOf reports whether to fetch content from id rather than from than.
 func (n *Node) prefersContentOf(id, than wire.NodeID) bool {
 	if near, other := n.InSamePlace(id), n.InSamePlace(than); near != other {
 		return near
--- a/internal/dispatch/upstream.go
+++ b/internal/dispatch/upstream.go
@@ -11,70 +11,70 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Figures of the model of an upstream that are not learned.
+// Constants of the model of an upstream that are not learned.
 const (
-	slownessWeight    = 0.25 // of one sample in a plain upstream's own slowness
+	slownessWeight    = 0.25 // of one sample in a plain upstream's slowness
 	maxSlowness       = 12.0
-	slownessHalfLife  = 3 * time.Second // of a slowness that is not seen again
-	usableMemoryRatio = 0.9             // part of an engine's memory planned for
-	cacheReportTTL    = 2 * time.Second // an engine's own word on what it keeps is believed
+	slownessHalfLife  = 3 * time.Second // of a slowness without new samples
+	usableMemoryRatio = 0.9             // fraction of an engine's memory that is planned for
+	cacheReportTTL    = 2 * time.Second // how long an engine's own report on its cache is relied on
 )
 
-// upstream is what is known of one instance: its load, its health, and for an
-// engine what it reads and keeps.
+// upstream is the model of one instance: its load and health, and for an engine its prefill
+// queue and prefix cache.
 type upstream struct {
 	id              version.ID
 	inst            routing.Instance
 	place           version.ID
-	region          version.ID                   // 0 when it is not known
-	runs            map[runKey]*run              // nil while it was never used
-	usageByRouter   map[wire.NodeID]*routerUsage // the same
+	region          version.ID                   // 0 if unknown
+	runs            map[runKey]*run              // nil until the first use
+	usageByRouter   map[wire.NodeID]*routerUsage // nil until the first use
 	total           usageTotals
-	unread          []*run // without a first event, in order of placing
+	unread          []*run // without a first event, in the order of placement
 	queue           prefill.Queue
-	outputTokens    int // tokens that its runs will generate
+	outputTokens    int // that its runs will generate
 	cache           *cache
-	kept            int       // tokens of the prompt that is being placed that it keeps
-	ready           int       // of these, read
-	cacheReportedAt time.Time // the engine said itself what it keeps
-	slowFactor      float64   // a plain upstream's times against the pool's, 1 is normal
+	kept            int       // cached tokens of the prompt that is being placed
+	ready           int       // of these, already prefilled
+	cacheReportedAt time.Time // when the engine last reported its cache
+	slowFactor      float64   // a plain upstream's times relative to the pool's, 1 is normal
 	slowSeenAt      time.Time
 	ejection        rest
 	conns           conns
 	cold            coldState
-	// evacuated says that its place is.
+	// evacuated says that its place is evacuated.
 	evacuated bool
 
 	set          *placeSet
-	lastUsed     time.Time // last
-	inUse        int       // its place in the working set, notInUse outside it
-	lastDecision uint64    // number of the last decision that looked at it
-	statementSeq uint64    // number of the last statement of a load here
+	lastUsed     time.Time
+	inUse        int    // its index in the working set, notInUse outside it
+	lastDecision uint64 // number of the last decision that considered it
+	statementSeq uint64 // number of the last statement of a load here
 }
 
-// runKey names a request placed anywhere in the fleet.
+// runKey identifies a placed request in the whole fleet.
 type runKey struct {
 	node wire.NodeID
 	no   uint64
 }
 
-// run is one placed request.
+// run is a placed request.
 type run struct {
 	key          runKey
 	up           *upstream
 	org          version.ID
-	cost         float64 // as the meter counts it
-	work         int     // tokens to read
-	tokens       int     // of memory that is this run's own: not shared with kept parts
-	outputTokens int     // of that, what it generates
+	cost         float64 // as counted by the meter
+	work         int     // tokens to prefill
+	tokens       int     // of memory that the run does not share with cached parts
+	outputTokens int     // of these, to be generated
 	parts        []wire.PromptPart
-	until        time.Time // it has surely ended by then
+	until        time.Time // when it has certainly ended
 	prompt       prefill.Prompt
 	entry        *prefill.Entry
 	firstEvent   bool
-	reported     bool            // another router is the scheduler, and is told of it
-	try          uint32          // of the ask that placed it
-	reply        wire.WorkAnswer // to that ask
+	reported     bool            // another router is the scheduler, and gets a report of it
+	try          uint32          // number of the placement request that placed it
+	reply        wire.WorkAnswer // to that placement request
 }
 
 func newUpstream(inst routing.Instance, engine *routing.Engine) *upstream {
@@ -91,14 +91,14 @@
 	return u
 }
 
-// routerUsage is what one router has at an upstream: what was placed here, and what else
+// routerUsage is what one router uses of an upstream: what was placed here, and what else
 // the router states.
 type routerUsage struct {
 	runs, tokens int // placed here
 	load         wire.WorkLoad
 }
 
-// use is a sum over routers, kept up to date by change.
+// usageTotals is a sum over routers, kept current by updateUsage.
 type usageTotals struct{ running, memory, unread int }
 
 func (n *routerUsage) sum() usageTotals {
@@ -109,7 +109,7 @@
 	}
 }
 
-// change alters a router's use and the sums with it.
+// updateUsage changes a router's usage and the totals with it.
 func (u *upstream) updateUsage(node wire.NodeID, alter func(*routerUsage)) {
 	n := u.usageByRouter[node]
 	if n == nil {
@@ -130,41 +130,41 @@
 	}
 }
 
-// running returns the requests at the upstream.
+// running returns the number of requests at the upstream.
 func (u *upstream) running() int { return u.total.running }
 
-// memory returns the tokens that running requests hold.
+// memory returns the tokens of memory that running requests hold.
 func (u *upstream) memory() int { return u.total.memory }
 
-// backlog returns how long the engine needs to read what it was sent, in
-// milliseconds. What routers state was decided by the scheduler before, or by the
+// backlog returns how long the engine needs to prefill all that it was sent, in
+// milliseconds. The loads that routers state were placed by an earlier scheduler, or by the
 // routers themselves.
 func (u *upstream) backlog(m prefill.Model, now time.Time) float64 {
 	return u.queue.Wait(m, now) + u.stated(m, now)
 }
 
-// stated is the part of the backlog that routers state beyond what was placed here.
+// stated returns the part of the backlog that routers state beyond what was placed here.
 func (u *upstream) stated(m prefill.Model, now time.Time) float64 {
 	return float64(u.total.unread) * m.PerToken * u.queue.Slow(m, now)
 }
 
-// decayStatedLoad takes from what routers state what the engine has read since: they state it
-// anew every second and a half in a large fleet, and an engine with nothing else to read
-// seemed up to a second behind for so long.
+// decayStatedLoad subtracts from the stated loads what the engine has prefilled since they
+// were stated. In a large fleet routers state them only every second and a half; without
+// this, an engine with nothing else to prefill seemed up to a second behind for that long.
 func (u *upstream) decayStatedLoad(m prefill.Model, elapsed time.Duration, now time.Time) {
 	if u.total.unread == 0 || u.queue.Wait(m, now) > 0 || m.PerToken <= 0 {
 		return
 	}
 	read := float64(elapsed) / float64(time.Millisecond) / (m.PerToken * u.queue.Slow(m, now))
-	part := min(1, read/float64(u.total.unread))
+	fraction := min(1, read/float64(u.total.unread))
 	for id, n := range u.usageByRouter {
 		if n.load.Unread > 0 {
-			u.updateUsage(id, func(n *routerUsage) { n.load.Unread -= uint32(math.Ceil(part * float64(n.load.Unread))) })
+			u.updateUsage(id, func(n *routerUsage) { n.load.Unread -= uint32(math.Ceil(fraction * float64(n.load.Unread))) })
 		}
 	}
 }
 
-// placeRun adds a run at the end of the queue.
+// placeRun appends a run to the queue.
 func (u *upstream) placeRun(r *run, now time.Time) {
 	r.up = u
 	u.touch(now)
@@ -189,10 +189,10 @@
 	u.fit(now)
 }
 
-// fit forgets kept parts for which running requests leave no memory. Their
-// prompts are among the parts, so only what they generate comes on top.
+// fit evicts cached parts from the model for which running requests leave no memory. The
+// requests' prompts are cached parts themselves, so only their output adds to these.
 //
-// While the engine tells itself what has left, nothing is guessed.
+// While the engine reports evictions itself, none are assumed.
 func (u *upstream) fit(now time.Time) {
 	if now.Sub(u.cacheReportedAt) < cacheReportTTL {
 		return
@@ -200,8 +200,8 @@
 	u.cache.fit(u.outputTokens)
 }
 
-// privateTokens is the memory of a request that it shares with no other: the last
-// part of its prompt and what it generates.
+// privateTokens returns the memory that a request shares with no other: the last part of its
+// prompt and its output.
 func privateTokens(input, output int, parts []wire.PromptPart) int {
 	if len(parts) > 0 {
 		input = int(parts[len(parts)-1].Tokens)
@@ -209,7 +209,7 @@
 	return input + output
 }
 
-// read takes the run out of those that are unread: its first event came, or it ended.
+// markRead removes a run from the unread ones: its first event came, or it ended.
 func (u *upstream) markRead(r *run, now time.Time) {
 	i := slices.Index(u.unread, r)
 	if i < 0 {
@@ -223,7 +223,7 @@
 	u.queue.Drop(r.entry, now)
 }
 
-// end forgets a run. whole says that its prompt was read.
+// endRun removes a run. whole says that its prompt was prefilled.
 func (u *upstream) endRun(r *run, whole bool, now time.Time) {
 	u.markRead(r, now)
 	delete(u.runs, r.key)
@@ -245,7 +245,7 @@
 	}
 }
 
-// reading reports whether an unread run will read the part.
+// willRead reports whether an unread run will prefill the part.
 func (u *upstream) willRead(part uint64) bool {
 	for _, q := range u.unread {
 		for _, p := range q.parts {
@@ -257,15 +257,15 @@
 	return false
 }
 
-// observe corrects a plain upstream's slowness by the time of an answer against what
-// was expected.
+// observeLatency adjusts a plain upstream's slowness by the latency of an answer, relative to
+// the expected one.
 func (u *upstream) observeLatency(got, want float64, now time.Time) {
 	ratio := min(max(got/max(want, 1), 0.2), maxSlowness)
 	u.slowFactor = min(max(u.slowFactor*(1+slownessWeight*(ratio-1)), 0.7), maxSlowness)
 	u.slowSeenAt = now
 }
 
-// slowness is the upstream's times against its service's, 1 is normal.
+// slowness returns the upstream's times relative to its service's, 1 is normal.
 func (u *upstream) slowness(m prefill.Model, now time.Time) float64 {
 	if u.cache != nil {
 		return u.queue.Slow(m, now)
@@ -273,8 +273,7 @@
 	return u.slowFactor
 }
 
-// settle lets a slowness that is no longer seen fade, so that the engine is
-// tried again.
+// fadeSlowness reduces a slowness without new samples, so that the upstream is tried again.
 func (u *upstream) fadeSlowness(now time.Time) {
 	if u.slowFactor > 1 && now.Sub(u.slowSeenAt) > slownessHalfLife {
 		u.slowFactor = 1 + (u.slowFactor-1)/2
