--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -7,9 +7,9 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// strictest returns the least target of the routes that lead to a service, in
-// milliseconds. Waits at engines are kept within it for all of them: what waits
-// for a patient route makes the others wait too.
+// strictestTargetMS returns the lowest target latency of the routes that lead to a service, in
+// milliseconds. Waits at engines are kept within it for all routes: requests that wait for a
+// route with a longer target make the others wait too.
 func strictestTargetMS(t *routing.Table, service string) float64 {
 	least := 0.0
 	for _, r := range t.Routes {
@@ -23,7 +23,7 @@
 	return least
 }
 
-// catalogue takes newer content of the platform's store.
+// applyCatalogue applies newer content of the platform's store.
 func (n *Node) applyCatalogue(c Catalogue, now time.Time) {
 	before := n.catalogue
 	n.catalogue = c
@@ -52,7 +52,7 @@
 	n.announceFetched(before.AsOf, now)
 }
 
-// applyChanges takes what was put and what ended since the last catalogue.
+// applyChanges applies what was put and what ended since the last catalogue.
 func (n *Node) applyChanges(c Catalogue, now time.Time) {
 	born := map[string]int64{}
 	for _, i := range c.Instances {
@@ -70,14 +70,14 @@
 	n.updateUpstreamPlaces()
 }
 
-// applyTable takes a table that names the same services as the one before.
+// applyTable applies a table that names the same services as the one before.
 func (n *Node) applyTable(t *routing.Table) {
 	for _, s := range t.Services {
 		n.poolOf(s, t)
 	}
 }
 
-// applyFullCatalogue takes a whole catalogue: what is not in it has ended.
+// applyFullCatalogue applies a full catalogue: what it does not list has ended.
 func (n *Node) applyFullCatalogue(c Catalogue, now time.Time) {
 	by, born := map[string][]routing.Instance{}, map[string]int64{}
 	for _, i := range c.Instances {
@@ -98,7 +98,7 @@
 	n.updateUpstreamPlaces()
 }
 
-// poolOf returns a service's pool as the table describes it.
+// poolOf returns a service's pool, updated from the table.
 func (n *Node) poolOf(s *routing.Service, t *routing.Table) *pool {
 	id := serviceID(s.Name)
 	p := n.pools[id]
@@ -114,16 +114,15 @@
 	return p
 }
 
-// ended takes an upstream that has left the list. born is of the start that is listed under
-// its ID now, if there is one.
+// upstreamDelisted handles an upstream that is no longer listed. born is the birth of the start
+// that is listed under its ID now, if there is one.
 func (n *Node) upstreamDelisted(p *pool, u *upstream, born int64, now time.Time) {
 	n.out = append(n.out, UpstreamGone{Instance: u.inst, Restarted: born > u.inst.Born})
 	n.entryGone(u.inst, now)
 	p.markRestarted(u.inst, born, now)
 }
 
-// upstreamOf returns what this router knows of an instance, and its service's pool; nil where
-// there is none.
+// upstreamOf returns the pool and the model of an instance, nil if unknown.
 func (n *Node) upstreamOf(i routing.Instance) (*pool, *upstream) {
 	p := n.pools[serviceID(i.Service)]
 	if p == nil {
@@ -132,7 +131,7 @@
 	return p, p.upstreams[version.IDOf(i.Start())]
 }
 
-// updateUpstreamPlaces notes in which places upstreams stand.
+// updateUpstreamPlaces updates the places that have upstreams.
 func (n *Node) updateUpstreamPlaces() {
 	n.upstreamPlaces = map[string]bool{}
 	for _, p := range n.pools {
@@ -142,22 +141,22 @@
 	}
 }
 
-// loneRouterTimeout is how long a router that has heard no other one may be one of many that start:
-// after it, it takes itself for the whole fleet.
+// loneRouterTimeout is how long a router that knows no other one may be one of many that start
+// together. After that it takes itself for the whole fleet.
 const loneRouterTimeout = time.Second
 
-// KnowsFleet reports whether this router has heard another one, or has been alone for so
-// long that there is none.
+// KnowsFleet reports whether this router knows another one, or has been alone for so long that
+// it takes itself for the whole fleet.
 func (n *Node) KnowsFleet(now time.Time) bool {
 	return n.HasPeers() || now.Sub(n.startedAt) >= loneRouterTimeout
 }
 
-// Scheduled returns the engines that this router schedules and that are in use: of the
-// others there is nothing to learn. While it knows no fleet it schedules none: asking an
-// engine for all that it keeps delays the engine's work.
+// ScheduledEngines returns the engines in use that this router schedules; there is nothing to
+// learn of the other engines. While it does not know the fleet it returns none, since listing
+// an engine's whole prefix cache delays the engine's work.
 //
-// Load pattern: 195 routers lose power, and the seeds come back last. Each took itself for
-// the scheduler for 0.4 s and asked 78 engines for all that they keep, 15,000 calls.
+// Load pattern: 195 routers lose power, and the seeds come back last. Each took itself for the
+// scheduler for 0.4 s and asked 78 engines for their whole prefix cache: 15,000 calls.
 func (n *Node) ScheduledEngines(now time.Time) []routing.Instance {
 	var out []routing.Instance
 	if !n.KnowsFleet(now) {
@@ -176,7 +175,7 @@
 	return out
 }
 
-// kept corrects the model by what an engine itself says it keeps.
+// applyCacheUpdate corrects the model of an engine's prefix cache by the engine's own report.
 func (n *Node) applyCacheUpdate(in CacheUpdate, now time.Time) {
 	id := version.IDOf(in.Instance)
 	for _, p := range n.pools {
--- a/internal/dispatch/cold.go
+++ b/internal/dispatch/cold.go
@@ -9,69 +9,71 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Cold upstreams. One that has just started takes few requests a second, from all routers
-// together, and crashes well above that.
+// Cold upstreams. An upstream that has just started can take only a few requests per second,
+// from all routers together, and crashes if it gets many more.
 //
-// Load pattern: a place of twenty engines comes back while forty requests a second are
-// placed at each engine, most by one scheduler, some by routers that are cut off from it.
-// The sum over all routers must stay under what the operators allow in any second, also
-// while the scheduler's role goes from one router to another.
+// Load pattern: a place with twenty engines comes back while forty requests per second are
+// placed at each engine, most by one scheduler, some by routers that are cut off from it. The
+// sum over all routers must stay below the operators' limit in any second, also while the
+// scheduler's role moves from one router to another.
 //
-// So only a scheduler places at cold upstreams: one that has had the role for long enough
-// that its predecessor's placements are over, and that hears most routers it knows of. Where
-// two overlap, each has half of what is allowed, and what was placed there is sent soon or
-// not at all. A router that may have missed the news asks an upstream's health first.
+// So only a scheduler places requests at cold upstreams, and only if it has had the role for
+// long enough that its predecessor's placements are over, and is in contact with most known
+// routers. Since two such schedulers may overlap, each may use half of the limit, and what they
+// place must be sent soon or not at all. A router that may have missed an update checks an
+// upstream's health first.
 
-// ColdRules bound what all routers together send to a cold upstream in any second: its
+// ColdRules limit what all routers together send to a cold upstream in any second: its
 // service's rate times Overage, plus Slack requests.
 type ColdRules struct {
 	Overage float64
 	Slack   float64
 }
 
-// DefaultColdRules allow the rate itself.
+// DefaultColdRules allow just the rate.
 var DefaultColdRules = ColdRules{Overage: 1}
 
 const (
-	// coldWindow is the time over which the rules count.
+	// coldWindow is the time over which requests are counted.
 	coldWindow = time.Second
-	// maxColdSchedulers is how many schedulers may place at cold upstreams at once: one that is
-	// cut off finds that out after quorumWindow, or halves of a fleet that has just started.
+	// maxColdSchedulers is how many schedulers may place at cold upstreams at once: a scheduler
+	// that is cut off detects it only after quorumWindow, and a fleet that has just started may
+	// be split in halves.
 	maxColdSchedulers = 2
-	// coldSettleDelay is how long a router must have been scheduler: the window, and the time in
-	// which its predecessor's placements are sent.
+	// coldSettleDelay is how long a router must have been the scheduler: the window, and the
+	// time in which its predecessor's placements are sent.
 	coldSettleDelay = coldWindow + maxPlacementTimeout + coldSendTimeout
 	// coldSendTimeout is how long after its placement a request may be sent to a cold upstream.
-	// What is sent later could meet what is placed for the next second.
+	// A request sent later could add to those placed for the next second.
 	coldSendTimeout = 200 * time.Millisecond
-	// coldEarlyRatio is the part of the time between two placements at the full rate by which
-	// one may come early: requests do not come at even times.
+	// coldEarlyRatio is the fraction of the interval between placements at the full rate by
+	// which one may come early, since requests do not arrive evenly.
 	coldEarlyRatio = 0.5
-	// coldEndTolerance is how far routers' beliefs of the end of a cold time may differ: an entry is
-	// heard that much later where a datagram was lost.
+	// coldEndTolerance is how far the routers' views of the end of a cold period may differ:
+	// where a datagram is lost, an entry arrives that much later.
 	coldEndTolerance = 300 * time.Millisecond
 )
 
-// coldState is what is believed of an upstream beside what its entry says, and what was
-// placed there lately.
+// coldState is what is known of a cold upstream beyond its entry, and the recent placements
+// there.
 type coldState struct {
-	until       time.Time // it may be cold until then though its entry does not say so
+	until       time.Time // it may be cold until then even if its entry does not say so
 	reason      ColdReason
-	unconfirmed bool        // it may start again, and has not answered since
-	answeredAt  time.Time   // last
+	unconfirmed bool        // it may restart, and has not answered since that was suspected
+	answeredAt  time.Time   // last answer
 	placed      []time.Time // in the last coldWindow, oldest first
-	nextAt      time.Time   // of the next placement while it is cold
+	nextAt      time.Time   // earliest next placement while it is cold
 	logged      bool
 }
 
-// suspect takes an upstream for cold until a time.
-func (c *coldState) suspect(until time.Time, why ColdReason) {
+// suspect treats an upstream as cold until a time.
+func (c *coldState) suspect(until time.Time, reason ColdReason) {
 	if until.After(c.until) {
-		c.until, c.reason = until, why
+		c.until, c.reason = until, reason
 	}
 }
 
-// place books a placement.
+// recordPlacement records a placement.
 func (c *coldState) recordPlacement(rate float64, now time.Time) {
 	c.dropOld(now)
 	c.placed = append(c.placed, now)
@@ -81,17 +83,18 @@
 		from = c.nextAt
 	}
 	if from.After(now) {
-		from = now // it was warm, and took more than its cold rate
+		from = now // it was warm, and got more than its cold rate
 	}
 	c.nextAt = from.Add(gap)
 }
 
-// has reports whether another placement fits under so many in any second.
+// admits reports whether another placement keeps to at most so many in any second.
 func (c *coldState) admits(most int, now time.Time) bool {
 	c.dropOld(now)
 	return len(c.placed) < most && !now.Before(c.nextAt)
 }
 
+// dropOld drops the placements before the window.
 func (c *coldState) dropOld(now time.Time) {
 	old := 0
 	for old < len(c.placed) && now.Sub(c.placed[old]) >= coldWindow {
@@ -100,7 +103,7 @@
 	c.placed = append(c.placed[:0], c.placed[old:]...)
 }
 
-// coldUntil is until when an upstream is believed to be cold, and why.
+// coldUntil returns until when an upstream is taken for cold, and why.
 func (u *upstream) coldUntil() (time.Time, ColdReason) {
 	if u.inst.ColdUntil.After(u.cold.until) {
 		return u.inst.ColdUntil, ColdStated
@@ -108,38 +111,38 @@
 	return u.cold.until, u.cold.reason
 }
 
-// isCold reports whether an upstream is believed to be cold, for longer than a time.
+// isCold reports whether an upstream is taken for cold for longer than a duration.
 func (u *upstream) isCold(longer time.Duration, now time.Time) bool {
 	until, _ := u.coldUntil()
 	return until.Sub(now) > longer
 }
 
-// isCold reports whether an upstream is believed to be cold where that bounds what it gets.
+// isCold reports whether an upstream is taken for cold and its service limits cold upstreams.
 func (p *pool) isCold(u *upstream, now time.Time) bool {
 	return p.cold.PerSecond > 0 && u.isCold(0, now)
 }
 
-// admitsIfCold reports whether an upstream takes another request: while it is cold, within
-// what this router may place there.
+// admitsIfCold reports whether an upstream may get another request: it is warm, or this router
+// may place another one at it.
 func (p *pool) admitsIfCold(u *upstream, now time.Time) bool {
 	return !p.isCold(u, now) || u.cold.admits(p.coldLimit, now)
 }
 
-// recordColdPlacement books a placement at an upstream whose service bounds what cold ones take.
-// Placements before it turned cold count too: they may arrive after.
+// recordColdPlacement records a placement at an upstream whose service limits cold upstreams.
+// Placements before it turned cold count too, since the requests may arrive after.
 func (p *pool) recordColdPlacement(u *upstream, now time.Time) {
 	if p.cold.PerSecond > 0 {
 		u.cold.recordPlacement(p.cold.PerSecond, now)
 	}
 }
 
-// hasCold reports whether some upstream that takes work is cold, so that only the scheduler
-// may place there.
+// hasCold reports whether some upstream that accepts work is cold, so that only the scheduler
+// may place at it.
 func (p *pool) hasCold(now time.Time) bool {
 	return slices.ContainsFunc(p.order, func(u *upstream) bool { return !u.closed() && p.isCold(u, now) })
 }
 
-// timeUntilWarm is how long it takes until some upstream is no longer cold.
+// timeUntilWarm returns the time until some upstream is no longer cold.
 func (p *pool) timeUntilWarm(now time.Time) time.Duration {
 	least := p.cold.For
 	for _, u := range p.order {
@@ -150,7 +153,7 @@
 	return least
 }
 
-// coldLimit is how many requests a second this router may place at a cold upstream.
+// coldLimit returns how many requests per second this router may place at a cold upstream.
 func (n *Node) coldLimit(p *pool, now time.Time) int {
 	rate := p.cold.PerSecond
 	if rate <= 0 || !n.mayPlaceAtCold(p.id, now) {
@@ -160,8 +163,8 @@
 	return int(min(max(1, math.Floor(rate)), math.Floor(allowed/maxColdSchedulers)))
 }
 
-// prepareColdDecision prepares a decision: what this router may place at cold upstreams, and whether
-// it may not know which are.
+// prepareColdDecision sets for the next decision how much this router may place at cold
+// upstreams, and whether it may not know which are cold.
 func (n *Node) prepareColdDecision(p *pool, now time.Time) {
 	p.coldLimit, p.mayMissCold = 0, false
 	if p.cold.PerSecond > 0 {
@@ -169,24 +172,23 @@
 	}
 }
 
-// mayPlaceAtCold reports whether this router is a scheduler that may place at cold
-// upstreams.
+// mayPlaceAtCold reports whether this router is a scheduler that may place at cold upstreams.
 func (n *Node) mayPlaceAtCold(service version.ID, now time.Time) bool {
-	since, scheduler := n.heartbeats.schedulingSince[service]
-	return scheduler && now.Sub(since) >= coldSettleDelay && n.schedulerOf(service, now) == n.settings.ID && n.quorum.holds(n, now)
+	schedulingSince, scheduler := n.heartbeats.schedulingSince[service]
+	return scheduler && now.Sub(schedulingSince) >= coldSettleDelay && n.schedulerOf(service, now) == n.settings.ID && n.quorum.holds(n, now)
 }
 
-// ColdChange is a change of what is believed of an upstream.
+// ColdChange says that an upstream is now taken for cold, or no longer.
 type ColdChange struct {
 	Instance routing.Instance
 	Why      ColdReason
-	For      time.Duration // 0: it is cold no more
-	Allowed  int           // requests a second that this router may place there
+	For      time.Duration // 0: it is no longer cold
+	Allowed  int           // requests per second that this router may place there
 }
 
 func (ColdChange) output() {}
 
-// reportColdChanges tells which upstreams are believed to have turned cold, or warm.
+// reportColdChanges reports which upstreams have turned cold or warm.
 func (n *Node) reportColdChanges(now time.Time) {
 	for _, p := range n.pools {
 		if p.cold.PerSecond <= 0 {
--- a/internal/dispatch/coldreasons.go
+++ b/internal/dispatch/coldreasons.go
@@ -8,35 +8,35 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Why an upstream is taken for cold beside what its entry says: the entry may be written
-// late, and an upstream may start again under the entry that it had.
+// Reasons to take an upstream for cold beyond its entry: the entry may be written late, and an
+// upstream may restart under the same entry.
 
-// silentRestartAfter is for how long an upstream must have answered nothing, while it failed
-// requests, to be taken for one that may start again.
+// silentRestartAfter is how long an upstream that fails requests must have answered none to be
+// suspected of a restart.
 const silentRestartAfter = time.Second
 
-// ColdReason says why an upstream is believed to be cold.
+// ColdReason says why an upstream is taken for cold.
 type ColdReason uint8
 
-// The reasons.
+// Reasons to take an upstream for cold.
 const (
 	ColdNot      ColdReason = iota
 	ColdStated              // its entry says so
-	ColdStarted             // it was seen to start again
+	ColdStarted             // it has restarted
 	ColdReturned            // its place was evacuated until now
-	ColdSilent              // it has answered nothing for a while, and may start again
-	ColdRefused             // it has refused a connection, and may start again
-	ColdHealth              // its own health says so
-	ColdTold                // another router has one of these reasons
+	ColdSilent              // it has answered nothing for a while, and may restart
+	ColdRefused             // it has refused a connection, and may restart
+	ColdHealth              // its health check says so
+	ColdTold                // another router reported one of these reasons
 )
 
-// String returns the reason as logs and status pages show it.
+// String returns the reason as written in logs and on status pages.
 func (r ColdReason) String() string {
 	return [...]string{"", "stated", "started", "place-returned", "was-silent", "refused-connection", "health", "told"}[r]
 }
 
-// markRestarted takes an upstream whose former start has ended for one that has just started,
-// when it is listed as born later.
+// markRestarted treats an upstream whose former start has ended as just started, if it is
+// listed with a later birth.
 func (p *pool) markRestarted(former routing.Instance, born int64, now time.Time) {
 	if born <= former.Born {
 		return
@@ -47,9 +47,9 @@
 	}
 }
 
-// suspectRestart takes an upstream for one that may start again at any moment, and is cold
-// when it does: it has refused a connection, or it fails requests and has answered none for
-// a while. Its entry may say so only after that.
+// suspectRestart treats an upstream as one that may restart at any moment and is cold then: it
+// has refused a connection, or it fails requests and has answered none for a while. Its entry
+// may say so only later.
 func (p *pool) suspectRestart(u *upstream, refused bool, now time.Time) {
 	if p.cold.PerSecond <= 0 {
 		return
@@ -64,15 +64,15 @@
 	}
 	next := now
 	if u.ejection.until.After(now) {
-		next = u.ejection.until // nothing is sent there before
+		next = u.ejection.until // nothing is sent there before then
 	}
 	u.cold.suspect(next.Add(p.cold.For), why)
 	u.cold.unconfirmed = true
 }
 
-// doubts returns this router's own reasons to take upstreams for cold, for those that may
-// schedule next. Load pattern: an upstream is down for two seconds, its scheduler is killed
-// or cut off, and it starts again under the entry that it had.
+// suspicions returns this router's own reasons to take upstreams for cold, for the routers that
+// may schedule next. Load pattern: an upstream is down for two seconds, its scheduler is killed
+// or cut off, and the upstream restarts under the same entry.
 func (n *Node) suspicions(now time.Time) (out []wire.Doubt) {
 	for _, p := range n.pools {
 		if p.cold.PerSecond <= 0 {
@@ -87,10 +87,10 @@
 	return out
 }
 
-// maxSuspicionTTL bounds what a peer's word may keep from an upstream.
+// maxSuspicionTTL bounds how long a peer's suspicion restricts an upstream.
 const maxSuspicionTTL = 10 * time.Second
 
-// handleSuspicions takes another router's.
+// handleSuspicions applies another router's suspicions.
 func (n *Node) handleSuspicions(list []wire.Doubt, now time.Time) {
 	for _, d := range list {
 		for _, p := range n.pools {
@@ -101,8 +101,8 @@
 	}
 }
 
-// noteConnRefused takes a refused connection that this router has seen itself where another one
-// had placed the request: that one may be out of reach next.
+// noteConnRefused records a refused connection that this router met where another router had
+// placed the request, since that router may become unreachable next.
 func (n *Node) noteConnRefused(f *flight, event uint8, now time.Time) {
 	p := n.pools[f.pool]
 	if p == nil || f.by == n.settings.ID || event != wire.NoteRefused {
@@ -113,7 +113,8 @@
 	}
 }
 
-// markAnswered notes an answer: one that might have started again has done so by now.
+// markAnswered records an answer: an upstream that was suspected of a restart has restarted by
+// now.
 func (p *pool) markAnswered(u *upstream, now time.Time) {
 	if u.cold.unconfirmed {
 		u.cold.unconfirmed = false
@@ -122,7 +123,7 @@
 	u.cold.answeredAt = now
 }
 
-// looked takes what an upstream's own health says.
+// healthChecked applies the result of a health check.
 func (n *Node) healthChecked(in Looked, now time.Time) {
 	p, u := n.upstreamOf(in.Instance)
 	if u == nil {
--- a/internal/dispatch/evacuation.go
+++ b/internal/dispatch/evacuation.go
@@ -6,15 +6,15 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// Places that are evacuated. Upstreams there get nothing more: no placement, repeat,
-// resume, or fetch of kept parts. What was placed and not yet sent is placed elsewhere, and
-// is no repeat. Routers there go on taking callers.
+// Evacuated places. Upstreams there get nothing new: no placement, retry, resume, or fetch of
+// cached parts. A request that was placed there and not yet sent is placed elsewhere, which
+// does not count as a retry. Routers in an evacuated place still accept callers.
 //
-// Load pattern: a place of a third of all upstreams is evacuated under a flood, and taken
-// back when its upstreams may have been replaced: they return together, cold.
+// Load pattern: a place with a third of all upstreams is evacuated under a flood. When it is
+// returned, its upstreams may have been replaced, and come back together, cold.
 
-// evacuate takes the places that are evacuated. Upstreams of those that were so until now
-// may be cold, whatever their entries say: these are written later.
+// setEvacuated applies the evacuated places. Upstreams of a place that was evacuated until now
+// may be cold whatever their entries say, since the entries are written later.
 func (p *pool) setEvacuated(places map[string]bool, now time.Time) {
 	if len(places) == 0 && !p.hasEvacuations {
 		return
@@ -29,12 +29,12 @@
 	}
 }
 
-// setCapacity takes what the operators state that all engines serve, less the part of those
-// in places that are evacuated.
+// setCapacity sets the capacity that the operators state for all engines, less the fraction of
+// engines in evacuated places.
 //
-// Load pattern: two of three engines are evacuated under a flood. By the stated capacity
-// nobody has had its share, and an organisation that asks for an eighth of what the flood
-// does is refused as often.
+// Load pattern: two of three engines are evacuated under a flood. By the stated capacity no
+// organisation would have used its share, and one that asks for an eighth of the flood would
+// be refused as often as the flood.
 func (p *pool) setCapacity(tokensPerSecond float64) {
 	all, open := 0, 0
 	for _, u := range p.order {
@@ -54,10 +54,10 @@
 	p.here.setCapacity(tokensPerSecond)
 }
 
-// closed reports whether an upstream is to get nothing more.
+// closed reports whether an upstream must get nothing new.
 func (u *upstream) closed() bool { return u.inst.Draining || u.evacuated }
 
-// open counts the upstreams that take work at their usual rate.
+// open counts the upstreams that accept work at their usual rate.
 func (p *pool) open(now time.Time) int {
 	if p.cold.PerSecond <= 0 {
 		return p.openUpstreams
@@ -71,7 +71,7 @@
 	return open
 }
 
-// fullyEvacuated reports whether evacuations leave no upstream that takes work.
+// fullyEvacuated reports whether evacuations leave no upstream that accepts work.
 func (p *pool) fullyEvacuated() bool {
 	evacuated := false
 	for _, u := range p.order {
@@ -83,8 +83,8 @@
 	return evacuated
 }
 
-// logEvacuations tells of places that are newly evacuated, or taken back, and of those
-// evacuated where nothing lies.
+// logEvacuations logs which places were evacuated or returned, and notes evacuated places that
+// have no upstream.
 func (n *Node) logEvacuations(before, after []routing.Evacuation) {
 	was := routing.EvacuatedPlaces(before)
 	for _, e := range after {
@@ -98,10 +98,10 @@
 	}
 }
 
-// describePlace says whether any upstream lies in a place.
+// describePlace returns a remark for the log if a place has no upstream.
 func (n *Node) describePlace(place string) string {
 	if n.upstreamPlaces[place] {
 		return ""
 	}
-	return ": no upstream lies there"
+	return ": no upstream is in this place"
 }
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -9,28 +9,28 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Upstreams that say themselves that they leave, before their entries in the platform's store
-// do. Whoever hears it tells the routers that place at the upstream; a start that leaves does
-// not come back.
+// Upstreams that announce that they are leaving before their entries in the platform's store
+// say so. A router that receives such a notice passes it on to the routers that place at the
+// upstream. A start that is leaving does not come back.
 //
-// Load pattern: the store is away while upstreams are replaced one by one. A router hears
-// from its callers' answers that one leaves, and the scheduler, which has sent it nothing
-// itself, places the next request there.
+// Load pattern: the store is unreachable while upstreams are replaced one by one. A router
+// learns from the answers to its callers that one is leaving, and the scheduler, which has sent
+// that upstream nothing itself, places the next request there.
 
-// leavingNoticeTTL is how long routers are told again: a few rounds in which everyone is told,
-// in a large fleet too. Each keeps what it was told until the upstream has ended.
+// leavingNoticeTTL is how long notices are repeated: a few rounds of announcements to everyone,
+// in a large fleet too. Each router keeps a notice until the upstream has ended.
 const leavingNoticeTTL = 5 * time.Second
 
-// leavers are the upstreams that have lately said that they leave.
+// leavingUpstreams has the upstreams that have recently announced that they are leaving.
 type leavingUpstreams map[version.ID]leavingUpstream
 
-// leaver is when this router came to know that an upstream leaves, and the upstream's service.
+// leavingUpstream is the service of a leaving upstream, and when this router learned of it.
 type leavingUpstream struct {
 	service version.ID
 	since   time.Time
 }
 
-// Leaving says that an upstream leaves, by its own word or, with From, by a peer's.
+// UpstreamLeaving says that an upstream is leaving, by its own notice or, with From, by a peer's.
 type UpstreamLeaving struct {
 	Instance routing.Instance
 	From     wire.NodeID
@@ -38,7 +38,8 @@
 
 func (UpstreamLeaving) output() {}
 
-// handleLeaveNotice takes an upstream's own word, and tells those who place at it at once.
+// handleLeaveNotice handles an upstream's own notice, and sends it at once to the routers that
+// place at the upstream.
 func (n *Node) handleLeaveNotice(i routing.Instance, now time.Time) {
 	p, u := n.upstreamOf(i)
 	if u == nil || !n.drain(p, u, "", now) {
@@ -50,7 +51,7 @@
 }
 
 // routersPlacingAt returns the other routers that place at a service's upstreams: all in a small
-// fleet, its heirs in a large one.
+// fleet, its scheduler group in a large one.
 func (n *Node) routersPlacingAt(service version.ID, now time.Time) []wire.NodeID {
 	if n.isLarge() {
 		return n.otherRouters(n.schedulerGroup(service, now))
@@ -58,7 +59,7 @@
 	return n.otherRouters(n.members.Live(true))
 }
 
-// drain takes an upstream out of use. It reports whether that is news.
+// drain takes an upstream out of use. It reports whether the upstream was in use before.
 func (n *Node) drain(p *pool, u *upstream, from wire.NodeID, now time.Time) bool {
 	if u.inst.Draining {
 		return false
@@ -70,7 +71,7 @@
 	return true
 }
 
-// handlePeerLeaving takes a peer's word on upstreams that leave.
+// handlePeerLeaving handles a peer's list of leaving upstreams.
 func (n *Node) handlePeerLeaving(from wire.NodeID, list []version.ID, now time.Time) {
 	for _, id := range list {
 		for _, p := range n.pools {
@@ -81,7 +82,7 @@
 	}
 }
 
-// attachLeaving tells a router which upstreams have lately said that they leave.
+// attachLeaving adds the upstreams that are leaving to a router's datagram.
 func (n *Node) attachLeaving(to wire.NodeID, now time.Time) {
 	var list []version.ID
 	for id, l := range n.leavingUpstreams {
--- a/internal/dispatch/quorum.go
+++ b/internal/dispatch/quorum.go
@@ -7,26 +7,28 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Whether this router is with most of the fleet: what it believes may be old otherwise, and
-// another router may have the same role.
+// Whether this router is in contact with most of the fleet. If not, what it knows may be
+// outdated, and another router may have the same role.
 
-// quorum is whether this router hears more than half of the routers that it knows of, and
-// routers in at least half of the places, kept for quorumCacheTTL. Membership takes three
-// seconds to find that routers are gone; what is heard directly tells sooner.
+// quorum says whether this router receives datagrams of more than half of the known routers,
+// and of routers in at least half of the places. The result is kept for quorumCacheTTL.
+// Membership needs three seconds to detect that routers are gone; the age of received datagrams
+// shows it sooner.
 type quorum struct {
 	at   time.Time
 	held bool
 }
 
 const (
-	// quorumWindow and quorumWindowLarge are how old the last datagram of a router may be that
-	// counts as heard. Each router tells those that schedule what it uses every 200 ms in a
-	// small fleet, and about every second in a large one.
+	// quorumWindow and quorumWindowLarge are the greatest age of the last datagram of a router
+	// that counts as in contact. Each router sends its usage to the scheduler groups every
+	// 200 ms in a small fleet, and about every second in a large one.
 	quorumWindow      = 500 * time.Millisecond
 	quorumWindowLarge = 1200 * time.Millisecond
-	// quorumCacheTTL is small beside both: counting costs a look at every router.
+	// quorumCacheTTL is small compared with both; counting has to look at every router.
 	quorumCacheTTL = 50 * time.Millisecond
-	// freshReadingAge is how old a reading of the store is news: less than the pause between two.
+	// freshReadingAge is the age up to which a reading of the store is fresh: less than the
+	// pause between two readings.
 	freshReadingAge = 200 * time.Millisecond
 )
 
@@ -61,15 +63,14 @@
 	return 2*(heard.Routers+1) > n.fleetSize() && 2*places >= len(heard.Places)
 }
 
-// mayMissColdStart reports whether a router that places requests may not know that an upstream
-// has turned cold: it hears the lesser part of the fleet, and nobody there has read the
-// store just now.
+// mayMissColdStart reports whether this router may not know that an upstream has turned cold:
+// it is in the smaller part of the fleet, and no router there has just read the store.
 func (n *Node) mayMissColdStart(now time.Time) bool {
 	return n.mayBeStale(now) && !n.quorum.holds(n, now)
 }
 
-// mayBePartitioned reports whether this router may have been cut off a moment ago: it decided in
-// place of its scheduler, or that is another one since.
+// mayBePartitioned reports whether this router may have been cut off a moment ago: it decided
+// in place of its scheduler, or the scheduler has changed since.
 func (n *Node) mayBePartitioned(by wire.NodeID, service version.ID, now time.Time) bool {
 	if !n.mayBeStale(now) {
 		return false
@@ -78,8 +79,8 @@
 	return alone || now.Sub(n.heartbeats.schedulerSince[service]) < n.quorumWindow()
 }
 
-// mayBeStale reports whether others may know what this router does not: it is not the
-// whole fleet, and the store was not read just now.
+// mayBeStale reports whether other routers may know of changes that this one does not: it is
+// not the whole fleet, and the store was not read just now.
 func (n *Node) mayBeStale(now time.Time) bool {
 	return n.fleetSize() > 1 && now.Sub(n.store.at) >= freshReadingAge
 }
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -9,23 +9,23 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// A router that comes to be an heir of a service, or its scheduler at once, reads from
-// another heir what regular messages do not rebuild: the window in which shares are
-// counted, what was learned of the engines, and what they keep.
+// A router that joins a service's scheduler group, perhaps as the scheduler at once, fetches a
+// snapshot from another member with what heartbeats do not rebuild: the window in which shares
+// are counted, the learned model of the engines, and the model of their prefix caches.
 //
-// Load pattern: an organisation floods, and two of three routers are stopped and start
-// again. One of them takes the scheduler's role as soon as it is heard; it took the flood
-// for an organisation that has had nothing, and refused one at a quarter of its share
+// Load pattern: an organisation floods, and two of three routers are stopped and start again.
+// One of them becomes the scheduler with its first message. It took the flood for an
+// organisation that had used nothing, and refused another one, at a quarter of its share,
 // nearly as often.
 
 const (
-	// snapshotFetchInterval is how long after an unanswered read another heir is asked.
+	// snapshotFetchInterval is the time after an unanswered fetch until another member is asked.
 	snapshotFetchInterval = 300 * time.Millisecond
-	// maxSnapshotFetches bounds the reads: after the window nothing of it is worth having.
+	// maxSnapshotFetches bounds the fetches: once the window is over, its content is worthless.
 	maxSnapshotFetches = int(shareSteps * shareStep / snapshotFetchInterval)
 )
 
-// inheritance is how far a router has come to know what an heir of a service knows.
+// takeoverState is the progress of taking over what a service's scheduler group knows.
 type takeoverState struct {
 	inGroup  bool
 	done     bool
@@ -33,13 +33,13 @@
 	due      time.Time
 }
 
-// FetchSnapshot asks the driver to read the state of a service's scheduler from an heir.
+// FetchSnapshot asks the driver to fetch a service's state from a member of its scheduler group.
 type FetchSnapshot struct {
 	From    wire.NodeID
 	Service string
 }
 
-// Inherit is a state that was read from an heir.
+// SnapshotFetched is the state that was fetched from a member of a scheduler group.
 type SnapshotFetched struct {
 	From     wire.NodeID
 	Snapshot *wire.Snapshot
@@ -48,33 +48,33 @@
 func (FetchSnapshot) output()  {}
 func (SnapshotFetched) input() {}
 
-// tickTakeover asks for the states that this router, as an heir, does not know.
+// tickTakeover requests the snapshots that this router lacks as a member of scheduler groups.
 func (n *Node) tickTakeover(now time.Time) {
 	for _, p := range n.pools {
 		if p.engine == nil {
 			continue
 		}
-		heirs := n.schedulerGroup(p.id, now)
+		group := n.schedulerGroup(p.id, now)
 		h := &p.takeover
-		if !slices.Contains(heirs, n.settings.ID) {
+		if !slices.Contains(group, n.settings.ID) {
 			*h = takeoverState{}
 			continue
 		}
 		if !h.inGroup {
 			*h = takeoverState{inGroup: true, due: now}
 		}
-		others := n.otherRouters(heirs)
-		if h.done || len(others) == 0 || h.attempts >= maxSnapshotFetches || now.Before(h.due) {
+		otherRouters := n.otherRouters(group)
+		if h.done || len(otherRouters) == 0 || h.attempts >= maxSnapshotFetches || now.Before(h.due) {
 			continue
 		}
-		n.out = append(n.out, FetchSnapshot{From: others[h.attempts%len(others)], Service: p.service})
+		n.out = append(n.out, FetchSnapshot{From: otherRouters[h.attempts%len(otherRouters)], Service: p.service})
 		h.attempts++
 		h.due = now.Add(snapshotFetchInterval)
 	}
 }
 
-// Snapshot returns what another router needs to take over the services of which this one is
-// an heir, and counts it as told.
+// Snapshot returns the state of all services whose scheduler group has this router as a member.
+// Another router takes them over with it. All recorded usage counts as known to that router.
 func (n *Node) Snapshot(asker wire.NodeID, now time.Time) *wire.Snapshot {
 	out := &wire.Snapshot{}
 	for _, p := range n.pools {
@@ -92,14 +92,14 @@
 	s := wire.ServiceSnapshot{Service: p.id, Orgs: p.meter.window(now), Model: p.learned()}
 	for _, u := range p.order {
 		if u.cache.used == 0 && !u.ejection.resting(now) {
-			continue // nothing is known of it
+			continue // nothing is known of this engine
 		}
 		s.Engines = append(s.Engines, wire.EngineSnapshot{Upstream: u.id, RestMS: leftMS(u.ejection.until, now), Kept: u.cache.list()})
 	}
 	return s
 }
 
-// inherit takes a state that was read from an heir.
+// applySnapshot applies the state that was fetched from a member of a scheduler group.
 func (n *Node) applySnapshot(in SnapshotFetched, now time.Time) {
 	for _, s := range in.Snapshot.Services {
 		p := n.pools[s.Service]
@@ -118,7 +118,7 @@
 	}
 }
 
-// window returns what organisations asked for and got, by the age of steps.
+// window returns what organisations requested and were granted, by the age of the steps.
 func (m *meter) window(now time.Time) []wire.OrgWindow {
 	m.advance(now)
 	var out []wire.OrgWindow
@@ -135,8 +135,8 @@
 	return out
 }
 
-// inherit takes another meter's window. Where both know of a step the larger one counts:
-// what this router placed since it was asked for work is in its own alone.
+// applySnapshot merges another meter's window. Of each step the larger value counts: what this
+// router has placed since it became the scheduler is in its own window only.
 func (m *meter) applySnapshot(rows []wire.OrgWindow, now time.Time) {
 	m.advance(now)
 	for _, r := range rows {
@@ -154,7 +154,7 @@
 	m.dirty = true
 }
 
-// finite is a peer's figure, 0 when it is none.
+// finite returns a peer's value, or 0 if it is not a plausible one.
 func finite(x float32) float64 {
 	if !(x > 0 && x < 1e12) {
 		return 0
@@ -162,7 +162,7 @@
 	return float64(x)
 }
 
-// inherit takes another router's belief of an engine where this one has none.
+// applySnapshot adopts another router's model of an engine where this router knows nothing.
 func (u *upstream) applySnapshot(e wire.EngineSnapshot, now time.Time) {
 	u.touch(now)
 	for _, k := range slices.Backward(e.Kept) {
@@ -176,7 +176,7 @@
 	}
 }
 
-// list returns the kept parts, the latest used first.
+// list returns the cached parts, the most recently used first.
 func (c *cache) list() []wire.KeptPart {
 	var out []wire.KeptPart
 	for e := c.order.Front(); e != nil; e = e.Next() {
@@ -186,7 +186,7 @@
 	return out
 }
 
-// toldAll notes that a router knows all that was booked until now.
+// toldAll records that a router knows all usage recorded so far.
 func (b *booked) toldAll(to wire.NodeID) {
 	b.own[to] = map[version.ID]unaskedSum{}
 	for org, s := range b.sums {
