--- a/internal/dispatch/cold_schedule_test.go
+++ b/internal/dispatch/cold_schedule_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// drawnSchedules is how many schedules a run of the tests plays; COLD_SCHEDULES in the
+// coldSimRuns is how many schedules a run of the tests plays; COLD_SCHEDULES in the
 // environment asks for more, COLD_FROM for another first seed.
-const drawnSchedules = 18
+const coldSimRuns = 18
 
-func number(t *testing.T, name string, otherwise int) int {
+func intFromEnv(t *testing.T, name string, otherwise int) int {
 	text := os.Getenv(name)
 	if text == "" {
 		return otherwise
@@ -23,17 +23,17 @@
 	return n
 }
 
-func TestDrawnSchedulesKeepTheBoundOfColdUpstreams(t *testing.T) {
+func TestRandomFaultsKeepTheColdLimit(t *testing.T) {
 	allowed := coldRate*coldRules.Overage + coldRules.Slack
-	from, all := number(t, "COLD_FROM", 1), number(t, "COLD_SCHEDULES", drawnSchedules)
+	from, all := intFromEnv(t, "COLD_FROM", 1), intFromEnv(t, "COLD_SCHEDULES", coldSimRuns)
 	const parts = 6
 	for part := range parts {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			for i := part; i < all; i += parts {
-				d := drawSchedule(t, uint64(from+i))
-				if most := d.play(1 + d.rnd.IntN(4)); float64(len(most)) > allowed {
-					t.Errorf("schedule %d (way %d): %d requests in a second, %.1f allowed, %s", from+i, d.how, len(most), allowed, d.describe(most))
+				d := newColdSimulation(t, uint64(from+i))
+				if most := d.simulate(1 + d.rnd.IntN(4)); float64(len(most)) > allowed {
+					t.Errorf("schedule %d (way %d): %d requests in a second, %.1f allowed, %s", from+i, d.cause, len(most), allowed, d.describe(most))
 				}
 			}
 		})
--- a/internal/dispatch/cold_simulation_test.go
+++ b/internal/dispatch/cold_simulation_test.go
@@ -21,78 +21,78 @@
 // rate x overage + slack requests, from all routers together.
 
 const (
-	drawnRouters = 9  // each tells each other one
-	drawnLarge   = 15 // they tell those that schedule, and hear these; one in six schedules
-	drawnEngines = 6
-	drawnFor     = 7 * time.Second
-	coldAt       = 2500 * time.Millisecond // when upstreams turn cold
-	coldFor      = 3 * time.Second
-	downFor      = 2 * time.Second // of those that start again
+	coldSimRouters      = 9  // each tells each other one
+	coldSimRoutersLarge = 15 // they tell those that schedule, and hear these; one in six schedules
+	coldSimEngines      = 6
+	coldSimDuration     = 7 * time.Second
+	coldSimColdAt       = 2500 * time.Millisecond // when upstreams turn cold
+	coldSimColdFor      = 3 * time.Second
+	coldSimDownFor      = 2 * time.Second // of those that start again
 )
 
-var drawnPlaces = []string{"p", "q", "r"}
+var coldSimPlaces = []string{"p", "q", "r"}
 
-// howCold is how upstreams of the first place turn cold.
-type howCold int
+// coldCause is how upstreams of the first place turn cold.
+type coldCause int
 
 const (
-	coldReturns  howCold = iota // the place was evacuated and is taken back; entries are written later
-	coldRestarts                // they crash and start again under their IDs, with new entries
-	coldDark                    // the same, but they are silent meanwhile
-	coldNew                     // others have taken their places, under new IDs
-	coldWays
+	causePlaceReturned coldCause = iota // the place was evacuated and is taken back; entries are written later
+	causeRestart                        // they crash and start again under their IDs, with new entries
+	causeSilentRestart                  // the same, but they are silent meanwhile
+	causeReplaced                       // others have taken their places, under new IDs
+	coldCauses
 )
 
 // drawn is one schedule.
-type drawn struct {
+type coldSimulation struct {
 	*fleet
-	rnd     *rand.Rand
-	how     howCold
-	began   time.Time
-	blind   map[wire.NodeID]bool      // cut off from the store too
-	group   map[wire.NodeID]int       // routers of different groups do not hear each other
-	rises   map[wire.NodeID]time.Time // of those that are down
-	inc     wire.Incarnation
-	no      uint64
-	news    []published
-	learned map[wire.NodeID]int // how many of the news a router knows
-	sends   []drawnSend
-	fails   []drawnSend            // in order of time
-	arrived map[string][]drawnSend // at cold upstreams
+	rnd           *rand.Rand
+	cause         coldCause
+	began         time.Time
+	storeCut      map[wire.NodeID]bool      // cut off from the store too
+	group         map[wire.NodeID]int       // routers of different groups do not hear each other
+	restartAt     map[wire.NodeID]time.Time // of those that are down
+	inc           wire.Incarnation
+	no            uint64
+	contents      []storeContent
+	knownContents map[wire.NodeID]int // how many of the news a router knows
+	sends         []simulatedSend
+	failing       []simulatedSend            // in order of time
+	arrived       map[string][]simulatedSend // at cold upstreams
 }
 
 // published is a content of the store, from a time on.
-type published struct {
+type storeContent struct {
 	at        time.Time
 	list      []routing.Instance
 	evacuated []routing.Evacuation
 }
 
-type drawnSend struct {
+type simulatedSend struct {
 	place Placement
 	by    wire.NodeID
 	at    time.Time
 }
 
-func drawSchedule(t *testing.T, seed uint64) *drawn {
+func newColdSimulation(t *testing.T, seed uint64) *coldSimulation {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	d := &drawn{
-		fleet:   &fleet{t: t, now: start, nodes: map[wire.NodeID]*Node{}, cut: map[wire.NodeID]bool{}, got: map[wire.NodeID]map[uint64]Output{}},
-		rnd:     rnd,
-		how:     howCold(rnd.IntN(int(coldWays))),
-		began:   start.Add(2 * time.Second),
-		blind:   map[wire.NodeID]bool{},
-		group:   map[wire.NodeID]int{},
-		rises:   map[wire.NodeID]time.Time{},
-		learned: map[wire.NodeID]int{},
-		arrived: map[string][]drawnSend{},
+	d := &coldSimulation{
+		fleet:         &fleet{t: t, now: start, nodes: map[wire.NodeID]*Node{}, cut: map[wire.NodeID]bool{}, got: map[wire.NodeID]map[uint64]Output{}},
+		rnd:           rnd,
+		cause:         coldCause(rnd.IntN(int(coldCauses))),
+		began:         start.Add(2 * time.Second),
+		storeCut:      map[wire.NodeID]bool{},
+		group:         map[wire.NodeID]int{},
+		restartAt:     map[wire.NodeID]time.Time{},
+		knownContents: map[wire.NodeID]int{},
+		arrived:       map[string][]simulatedSend{},
 	}
-	d.split = func(a, b wire.NodeID) bool { return d.group[a] != d.group[b] }
+	d.partitioned = func(a, b wire.NodeID) bool { return d.group[a] != d.group[b] }
 	d.lose = func() bool { return rnd.Float64() < 0.02 }
-	d.publishNews()
-	routers := drawnRouters
+	d.planContents()
+	routers := coldSimRouters
 	if rnd.IntN(6) == 0 {
-		routers = drawnLarge
+		routers = coldSimRoutersLarge
 	}
 	for i := range routers {
 		id := wire.NodeID(fmt.Sprintf("10.1.0.%d:1", i))
@@ -104,68 +104,68 @@
 	return d
 }
 
-// publishNews lays down what the store holds and when.
-func (d *drawn) publishNews() {
+// planContents lays down what the store holds and when.
+func (d *coldSimulation) planContents() {
 	warm := d.engines("e", 100, 0)
 	closed := []routing.Evacuation{{Place: "p", Revision: 11}}
-	at := d.began.Add(coldAt)
+	at := d.began.Add(coldSimColdAt)
 	late := at.Add(time.Duration(d.rnd.Int64N(int64(300 * time.Millisecond))))
-	d.news = []published{{start, warm, nil}}
-	switch d.how {
-	case coldReturns:
-		d.news = append(d.news, published{d.began.Add(200 * time.Millisecond), warm, closed}, published{at, warm, nil}, published{late, d.engines("e", 100, coldFor-late.Sub(at)), nil})
-	case coldRestarts, coldDark:
-		d.news = append(d.news, published{late, d.engines("e", 200, coldFor-late.Sub(at)), nil})
-	case coldNew:
-		d.news = append(d.news, published{at, d.engines("n", 200, coldFor), nil})
+	d.contents = []storeContent{{start, warm, nil}}
+	switch d.cause {
+	case causePlaceReturned:
+		d.contents = append(d.contents, storeContent{d.began.Add(200 * time.Millisecond), warm, closed}, storeContent{at, warm, nil}, storeContent{late, d.engines("e", 100, coldSimColdFor-late.Sub(at)), nil})
+	case causeRestart, causeSilentRestart:
+		d.contents = append(d.contents, storeContent{late, d.engines("e", 200, coldSimColdFor-late.Sub(at)), nil})
+	case causeReplaced:
+		d.contents = append(d.contents, storeContent{at, d.engines("n", 200, coldSimColdFor), nil})
 	}
 }
 
 // engines lists the engines; those of the first place have names and births of their own.
-func (d *drawn) engines(name string, born int64, cold time.Duration) []routing.Instance {
-	list := spreadOver(instances(drawnEngines), drawnPlaces...)
+func (d *coldSimulation) engines(name string, born int64, cold time.Duration) []routing.Instance {
+	list := spreadOverPlaces(instances(coldSimEngines), coldSimPlaces...)
 	for i := range list {
 		list[i].Born = 100
 		if list[i].Place == "p" && list[i].Service == engines {
 			list[i].ID = fmt.Sprintf("%s%d", name, i)
 			list[i].Born = born
 			if cold > 0 {
-				list[i].ColdUntil = d.began.Add(coldAt + coldFor)
+				list[i].ColdUntil = d.began.Add(coldSimColdAt + coldSimColdFor)
 			}
 		}
 	}
 	return list
 }
 
-func (d *drawn) boot(id wire.NodeID) {
+func (d *coldSimulation) boot(id wire.NodeID) {
 	d.inc++
 	i := slices.Index(d.order, id)
-	n := New(Settings{ID: id, Inc: d.inc, Place: drawnPlaces[i%len(drawnPlaces)], Seeds: []wire.NodeID{"10.1.0.0:1", "10.1.0.1:1", "10.1.0.2:1"},
+	n := New(Settings{ID: id, Inc: d.inc, Place: coldSimPlaces[i%len(coldSimPlaces)], Seeds: []wire.NodeID{"10.1.0.0:1", "10.1.0.1:1", "10.1.0.2:1"},
 		Retry: DefaultRetryRules, Cold: coldRules, Seed: uint64(d.inc)}, d.now)
 	d.nodes[id] = n
-	d.learned[id] = 0
+	d.knownContents[id] = 0
 	d.got[id] = map[uint64]Output{}
 }
 
 // learn brings a router up to what the store holds, by itself or by a peer.
-func (d *drawn) learn(id wire.NodeID) {
+func (d *coldSimulation) learn(id wire.NodeID) {
 	known := 0
-	for known < len(d.news) && !d.now.Before(d.news[known].at) {
+	for known < len(d.contents) && !d.now.Before(d.contents[known].at) {
 		known++
 	}
-	if known <= d.learned[id] {
+	if known <= d.knownContents[id] {
 		return
 	}
-	d.learned[id] = known
-	n := d.news[known-1]
+	d.knownContents[id] = known
+	n := d.contents[known-1]
 	d.nodes[id].Step(Catalogue{Table: coldTable(d.t), Instances: n.list, Evacuated: n.evacuated, Revision: uint64(10 + known), AsOf: uint64(10 + known)}, d.now)
 	d.nodes[id].Step(StoreRead{}, d.now)
 }
 
 // hears reports whether a router, or one that it hears, reaches the store.
-func (d *drawn) hears(id wire.NodeID) bool {
+func (d *coldSimulation) reachesStore(id wire.NodeID) bool {
 	for _, other := range d.order {
-		if !d.cut[other] && !d.blind[other] && d.group[other] == d.group[id] {
+		if !d.cut[other] && !d.storeCut[other] && d.group[other] == d.group[id] {
 			return true
 		}
 	}
@@ -173,7 +173,7 @@
 }
 
 // fault draws one fault.
-func (d *drawn) fault() {
+func (d *coldSimulation) injectFault() {
 	switch d.rnd.IntN(5) {
 	case 0: // a router is killed, and starts again
 		d.kill(d.victim())
@@ -181,19 +181,19 @@
 		for range 1 + d.rnd.IntN(3) {
 			id := d.victim()
 			d.group[id] = 1000 + d.rnd.IntN(1000)
-			d.blind[id] = true
+			d.storeCut[id] = true
 		}
 	case 2: // a place is cut off, with the store or without
 		place, blind := d.rnd.IntN(3), d.rnd.IntN(2) == 0
 		for i, id := range d.order {
 			if i%3 == place {
 				d.group[id] = 1 + place
-				d.blind[id] = blind
+				d.storeCut[id] = blind
 			}
 		}
 	case 3: // all cuts heal
 		clear(d.group)
-		clear(d.blind)
+		clear(d.storeCut)
 	case 4: // several are killed at once
 		for _, id := range d.order {
 			if d.rnd.IntN(2) == 0 {
@@ -203,12 +203,12 @@
 	}
 }
 
-func (d *drawn) kill(id wire.NodeID) {
+func (d *coldSimulation) kill(id wire.NodeID) {
 	d.cut[id] = true
-	d.rises[id] = d.now.Add(200*time.Millisecond + time.Duration(d.rnd.Int64N(int64(1500*time.Millisecond))))
+	d.restartAt[id] = d.now.Add(200*time.Millisecond + time.Duration(d.rnd.Int64N(int64(1500*time.Millisecond))))
 }
 
-func (d *drawn) victim() wire.NodeID {
+func (d *coldSimulation) victim() wire.NodeID {
 	if d.rnd.IntN(2) == 0 {
 		for _, id := range d.order {
 			if !d.cut[id] && d.nodes[id].schedulerOf(serviceID(engines), d.now) == id {
@@ -220,14 +220,14 @@
 }
 
 // step moves the world on by a tick: news, starts, requests, sends.
-func (d *drawn) step(perTick float64) {
+func (d *coldSimulation) step(perTick float64) {
 	for _, id := range d.order {
-		if at, down := d.rises[id]; down && !d.now.Before(at) {
-			delete(d.rises, id)
+		if at, down := d.restartAt[id]; down && !d.now.Before(at) {
+			delete(d.restartAt, id)
 			delete(d.cut, id)
 			d.boot(id)
 		}
-		if !d.cut[id] && d.hears(id) && d.rnd.IntN(5) == 0 {
+		if !d.cut[id] && d.reachesStore(id) && d.rnd.IntN(5) == 0 {
 			d.learn(id)
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // runTick is a tick of those that run.
-func (d *drawn) runTick() {
+func (d *coldSimulation) runTick() {
 	d.now = d.now.Add(TickInterval)
 	for _, id := range d.order {
 		if !d.cut[id] {
@@ -253,7 +253,7 @@
 	d.deliver()
 }
 
-func (d *drawn) ask(id wire.NodeID) {
+func (d *coldSimulation) ask(id wire.NodeID) {
 	if d.cut[id] {
 		return
 	}
@@ -262,19 +262,19 @@
 }
 
 // collect takes the placements, and lets requests arrive after a while.
-func (d *drawn) collect() {
+func (d *coldSimulation) collect() {
 	for _, id := range d.order {
 		got := d.got[id]
 		for _, no := range slices.Sorted(maps.Keys(got)) {
 			o := got[no]
 			if p, placed := o.(Placement); placed {
 				wait := time.Duration(d.rnd.ExpFloat64() * float64(15*time.Millisecond))
-				d.sends = append(d.sends, drawnSend{p, id, d.now.Add(wait)})
+				d.sends = append(d.sends, simulatedSend{p, id, d.now.Add(wait)})
 			}
 			delete(got, no)
 		}
 	}
-	slices.SortStableFunc(d.sends, func(a, b drawnSend) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(d.sends, func(a, b simulatedSend) int { return a.at.Compare(b.at) })
 	for len(d.sends) > 0 && !d.now.Before(d.sends[0].at) {
 		s := d.sends[0]
 		d.sends = d.sends[1:]
@@ -283,14 +283,14 @@
 }
 
 // send is what internal/request/forward and the upstream do with a placement.
-func (d *drawn) send(s drawnSend) {
+func (d *coldSimulation) send(s simulatedSend) {
 	if d.cut[s.by] {
 		return
 	}
 	n := d.nodes[s.by]
-	known := published{}
-	if k := d.learned[s.by]; k > 0 {
-		known = d.news[k-1]
+	known := storeContent{}
+	if k := d.knownContents[s.by]; k > 0 {
+		known = d.contents[k-1]
 	}
 	i := slices.IndexFunc(known.list, func(i routing.Instance) bool { return i.Start() == s.place.Instance.Start() })
 	closed := slices.ContainsFunc(known.evacuated, func(e routing.Evacuation) bool { return e.Place == s.place.Instance.Place })
@@ -298,17 +298,17 @@
 		n.Step(Again{ID: s.place.ID, Event: wire.NoteUnused}, d.now)
 		return
 	}
-	since := d.now.Sub(d.began.Add(coldAt))
-	isCold := s.place.Instance.Place == "p" && since >= 0 && since < coldFor
+	since := d.now.Sub(d.began.Add(coldSimColdAt))
+	isCold := s.place.Instance.Place == "p" && since >= 0 && since < coldSimColdFor
 	if s.place.CheckHealth && isCold {
-		n.Step(Looked{Instance: s.place.Instance, ColdFor: coldFor - since}, d.now)
+		n.Step(Looked{Instance: s.place.Instance, ColdFor: coldSimColdFor - since}, d.now)
 		n.Step(Again{ID: s.place.ID, Event: wire.NoteUnused}, d.now)
 		return
 	}
-	down := d.how != coldReturns && since > -downFor && since < 0
-	gone := d.how == coldNew && since >= 0 && s.place.Instance.ID[0] == 'e'
+	down := d.cause != causePlaceReturned && since > -coldSimDownFor && since < 0
+	gone := d.cause == causeReplaced && since >= 0 && s.place.Instance.ID[0] == 'e'
 	if s.place.Instance.Place == "p" && (down || gone) {
-		d.fails = append(d.fails, drawnSend{s.place, s.by, d.now.Add(d.failsAfter())})
+		d.failing = append(d.failing, simulatedSend{s.place, s.by, d.now.Add(d.failsAfter())})
 		return
 	}
 	if isCold {
@@ -321,22 +321,22 @@
 
 // failsAfter is how long an upstream that is down leaves a router waiting: it refuses
 // connections at once, or is silent until the connection is given up.
-func (d *drawn) failsAfter() time.Duration {
-	if d.how == coldDark {
+func (d *coldSimulation) failsAfter() time.Duration {
+	if d.cause == causeSilentRestart {
 		return 400 * time.Millisecond
 	}
 	return TickInterval
 }
 
 // endFailed ends the requests whose upstream is down.
-func (d *drawn) endFailed() {
+func (d *coldSimulation) endFailed() {
 	event := wire.NoteRefused
-	if d.how == coldDark {
+	if d.cause == causeSilentRestart {
 		event = wire.NoteFailed
 	}
-	for len(d.fails) > 0 && !d.now.Before(d.fails[0].at) {
-		f := d.fails[0]
-		d.fails = d.fails[1:]
+	for len(d.failing) > 0 && !d.now.Before(d.failing[0].at) {
+		f := d.failing[0]
+		d.failing = d.failing[1:]
 		if !d.cut[f.by] {
 			d.nodes[f.by].Step(End{ID: f.place.ID, Event: event}, d.now)
 		}
@@ -344,16 +344,16 @@
 }
 
 // play runs a schedule and returns what a cold upstream got in its worst second.
-func (d *drawn) play(faults int) []drawnSend {
+func (d *coldSimulation) simulate(faults int) []simulatedSend {
 	var at []time.Time
 	for range faults {
 		at = append(at, d.began.Add(500*time.Millisecond+time.Duration(d.rnd.Int64N(int64(4500*time.Millisecond)))))
 	}
-	const perTick = 40 * drawnEngines * float64(TickInterval) / float64(time.Second)
-	for d.now.Sub(d.began) < drawnFor {
+	const perTick = 40 * coldSimEngines * float64(TickInterval) / float64(time.Second)
+	for d.now.Sub(d.began) < coldSimDuration {
 		for i := range at {
 			if d.now.Sub(at[i]) >= 0 && d.now.Sub(at[i]) < TickInterval {
-				d.fault()
+				d.injectFault()
 			}
 		}
 		d.step(perTick)
@@ -362,7 +362,7 @@
 }
 
 // worst is the second in which a cold upstream got most.
-func (d *drawn) worst() (most []drawnSend) {
+func (d *coldSimulation) worst() (most []simulatedSend) {
 	for _, list := range d.arrived {
 		from := 0
 		for i := range list {
@@ -378,13 +378,13 @@
 }
 
 // describe says who sent the requests, and who had placed them as what.
-func (d *drawn) describe(sends []drawnSend) string {
+func (d *coldSimulation) describe(sends []simulatedSend) string {
 	counts := map[string]int{}
 	for _, s := range sends {
-		after := s.at.Sub(d.began.Add(coldAt)).Truncate(250 * time.Millisecond)
+		after := s.at.Sub(d.began.Add(coldSimColdAt)).Truncate(250 * time.Millisecond)
 		counts[fmt.Sprintf("%s by %s placed by %s cold %v look %v", after, s.by[7:], s.place.By[7:], s.place.Cold, s.place.CheckHealth)]++
 	}
-	out := fmt.Sprintf("from %s after they turned cold:", sends[0].at.Sub(d.began.Add(coldAt)))
+	out := fmt.Sprintf("from %s after they turned cold:", sends[0].at.Sub(d.began.Add(coldSimColdAt)))
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
 		out += fmt.Sprintf("\n\t%d %s", counts[k], k)
 	}
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -47,7 +47,7 @@
 
 // press sends requests by all routers in turn for a time, and returns when each engine got
 // one. Each request ends at once.
-func (f *fleet) press(d time.Duration, perTick int, no *uint64) map[string][]time.Time {
+func (f *fleet) sendRequests(d time.Duration, perTick int, no *uint64) map[string][]time.Time {
 	got := map[string][]time.Time{}
 	for end := f.now.Add(d); f.now.Before(end); {
 		for range perTick {
@@ -67,8 +67,8 @@
 	return got
 }
 
-// mostIn is the most times within any second.
-func mostIn(at []time.Time) int {
+// maxPerSecond is the most times within any second.
+func maxPerSecond(at []time.Time) int {
 	most, from := 0, 0
 	for i := range at {
 		for at[i].Sub(at[from]) >= time.Second {
@@ -83,15 +83,15 @@
 func TestColdUpstreamGetsItsRateAndNoBurst(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	no := uint64(0)
-	f.press(time.Second, 2, &no)
+	f.sendRequests(time.Second, 2, &no)
 	f.turnCold(1, 3*time.Second, 0)
-	got := f.press(3*time.Second, 2, &no)["e0"]
-	assert.LessOrEqual(t, mostIn(got), 9)
+	got := f.sendRequests(3*time.Second, 2, &no)["e0"]
+	assert.LessOrEqual(t, maxPerSecond(got), 9)
 	assert.GreaterOrEqual(t, float64(len(got)), 0.9*(coldRate*2), "no idling: what was placed before it turned cold fills the first second")
 	for i := 1; i < len(got); i++ {
 		assert.GreaterOrEqual(t, got[i].Sub(got[i-1]), 40*time.Millisecond)
 	}
-	got = f.press(2*time.Second, 2, &no)["e0"]
+	got = f.sendRequests(2*time.Second, 2, &no)["e0"]
 	assert.Greater(t, len(got), 100, "it is warm")
 }
 
@@ -99,14 +99,14 @@
 func TestPlacementsBeforeItTurnedColdCount(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	no := uint64(0)
-	before := f.press(time.Second, 1, &no)["e0"]
+	before := f.sendRequests(time.Second, 1, &no)["e0"]
 	require.Greater(t, len(before), 50)
 	f.turnCold(1, 3*time.Second, 0)
-	got := f.press(900*time.Millisecond, 1, &no)["e0"]
+	got := f.sendRequests(900*time.Millisecond, 1, &no)["e0"]
 	assert.Empty(t, got)
 }
 
-func TestRouterThatDecidesAloneSendsNothingToColdUpstreams(t *testing.T) {
+func TestLocalDecisionsAvoidColdUpstreams(t *testing.T) {
 	f := newColdFleet(t, 4, 2)
 	f.turnCold(2, 30*time.Second, 0)
 	id := f.other()
@@ -127,20 +127,20 @@
 }
 
 // A scheduler that has just taken the role does not know what the former one placed.
-func TestNewSchedulerWaitsForTheLastOnesPlacements(t *testing.T) {
+func TestNewSchedulerWaitsForItsPredecessorsPlacements(t *testing.T) {
 	f := newColdFleet(t, 5, 2)
 	f.turnCold(2, 30*time.Second, 0)
 	no := uint64(0)
-	require.NotEmpty(t, f.press(2*time.Second, 1, &no)["e0"])
+	require.NotEmpty(t, f.sendRequests(2*time.Second, 1, &no)["e0"])
 	f.cut[f.scheduler()] = true
 	died := f.now
-	got := f.press(6*time.Second, 1, &no)["e0"]
+	got := f.sendRequests(6*time.Second, 1, &no)["e0"]
 	require.NotEmpty(t, got)
 	assert.GreaterOrEqual(t, got[0].Sub(died), coldWindow)
 }
 
 // A scheduler that is cut off does not know that another one has its role.
-func TestSchedulerThatIsCutOffSendsNothingToColdUpstreams(t *testing.T) {
+func TestIsolatedSchedulerAvoidsColdUpstreams(t *testing.T) {
 	f := newColdFleet(t, 5, 1)
 	s := f.scheduler()
 	f.turnCold(1, 30*time.Second, 0)
@@ -157,38 +157,38 @@
 }
 
 // A place that is taken back may be cold as a whole, before its entries say so.
-func TestPlaceThatReturnsIsCold(t *testing.T) {
+func TestReturnedPlaceIsCold(t *testing.T) {
 	f := newColdFleet(t, 3, 4)
-	list := spreadOver(instances(4), "p", "q")
+	list := spreadOverPlaces(instances(4), "p", "q")
 	f.publishAll(list, "p")
 	no := uint64(0)
-	assert.Empty(t, f.press(2*time.Second, 1, &no)["e0"])
+	assert.Empty(t, f.sendRequests(2*time.Second, 1, &no)["e0"])
 	f.publishAll(list, "q")
-	got := f.press(3*time.Second, 2, &no)
+	got := f.sendRequests(3*time.Second, 2, &no)
 	for _, id := range []string{"e0", "e2"} {
-		assert.LessOrEqual(t, mostIn(got[id]), 9, id)
+		assert.LessOrEqual(t, maxPerSecond(got[id]), 9, id)
 		assert.NotEmpty(t, got[id])
 	}
-	assert.Greater(t, mostIn(f.press(2*time.Second, 2, &no)["e0"]), 20)
+	assert.Greater(t, maxPerSecond(f.sendRequests(2*time.Second, 2, &no)["e0"]), 20)
 }
 
 // An upstream that starts again under its ID is cold, also when its entry says nothing.
-func TestUpstreamSeenToStartAgainIsCold(t *testing.T) {
+func TestRestartedUpstreamIsCold(t *testing.T) {
 	f := newColdFleet(t, 3, 2)
 	list := instances(2)
 	list[0].Born = 100
 	f.publishAll(list)
 	no := uint64(0)
-	f.press(2*time.Second, 1, &no)
+	f.sendRequests(2*time.Second, 1, &no)
 	again := instances(2)
 	again[0].Born = 200
 	f.publishAll(again)
-	assert.LessOrEqual(t, mostIn(f.press(3*time.Second, 2, &no)["e0"]), 9)
+	assert.LessOrEqual(t, maxPerSecond(f.sendRequests(3*time.Second, 2, &no)["e0"]), 9)
 }
 
 // An upstream that answers nothing for seconds may start again under the same entry: until
 // that is written anew nobody says that it is cold.
-func TestUpstreamThatWasSilentIsTakenForCold(t *testing.T) {
+func TestSilentUpstreamIsTakenForCold(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	id := f.scheduler()
 	u := f.nodes[id].pools[serviceID(engines)].order[0]
@@ -231,7 +231,7 @@
 }
 
 // The scheduler does not know yet that the upstream is cold.
-func TestPlacementAtAnUpstreamKnownToBeColdIsNotUsed(t *testing.T) {
+func TestPlacementReplyIsRejectedForAColdUpstream(t *testing.T) {
 	f := newColdFleet(t, 3, 2)
 	id := f.other()
 	list := instances(2)
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestPlacementMaySendOnlyInItsTime(t *testing.T) {
+func TestPlacementMaySend(t *testing.T) {
 	cold := Placement{Cold: true, SendBy: start.Add(coldSendTimeout)}
 	assert.True(t, cold.MaySend(start.Add(time.Minute), start))
 	assert.False(t, cold.MaySend(time.Time{}, start.Add(coldSendTimeout)))
@@ -274,6 +274,6 @@
 		f.nodes[id].Step(End{ID: no + 1, Event: wire.NoteDone}, f.now)
 		f.run(TickInterval)
 	}
-	assert.LessOrEqual(t, mostIn(got), 9)
+	assert.LessOrEqual(t, maxPerSecond(got), 9)
 	assert.NotEmpty(t, got)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -35,7 +35,7 @@
 	assert.Len(t, seen, 4)
 }
 
-func TestPromptPartsDrawRequestsToWhoeverKeepsThem(t *testing.T) {
+func TestRequestsGoWhereTheirPromptIsCached(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	parts := []wire.PromptPart{{Part: 11, Tokens: 2500}, {Part: 12, Tokens: 3700}}
 	a, b := f.order[0], f.order[1]
@@ -51,7 +51,7 @@
 	assert.Equal(t, 8000-6200, second.ReadTokens)
 }
 
-func TestKeptPartsAreFetchedWhenTheirEngineIsBusy(t *testing.T) {
+func TestCachedPartsAreFetchedFromABusyEngine(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	parts := []wire.PromptPart{{Part: 11, Tokens: 6000}}
 	a := f.order[0]
@@ -87,7 +87,7 @@
 	assert.Equal(t, dead, f.nodes[id].schedulerOf(serviceID(engines), f.now), "heard again, it is the scheduler again")
 }
 
-func TestAnAskThatIsRepeatedCountsOnce(t *testing.T) {
+func TestRepeatedPlacementRequestCountsOnce(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	s, id := f.scheduler(), f.other()
 	ask := wire.WorkAsk{No: 1, Try: 1, Service: serviceID(engines), Org: 3, Input: 1000, AimMS: 600, LeftMS: 6000}
@@ -117,7 +117,7 @@
 }
 
 // The scheduler may not yet know that an upstream is leaving.
-func TestPlacementOnAnUpstreamKnownToLeaveIsNotUsed(t *testing.T) {
+func TestPlacementReplyIsRejectedForALeavingUpstream(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	id := f.other()
 	list := instances(2)
@@ -130,7 +130,7 @@
 }
 
 // Two requests at a time, so that the sound upstream is not always the better one.
-func TestFailingUpstreamRestsAndIsTriedAgain(t *testing.T) {
+func TestFailingUpstreamIsEjectedAndRetried(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	bad, failed := "e0", 0
@@ -155,7 +155,7 @@
 
 // Routers state their use every 200 ms; an engine that has read everything meanwhile
 // has no backlog. Load pattern: many short prompts at engines that read them at once.
-func TestPromptsThatWereReadAreNoBacklog(t *testing.T) {
+func TestPrefilledPromptsAreNoBacklog(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	s, id := f.scheduler(), f.other()
 	f.run(heartbeatInterval - 3*TickInterval) // the requests run when regular messages are sent
@@ -174,7 +174,7 @@
 }
 
 // What a scheduler that has ended had placed is stated to the next one.
-func TestRunsOfAnEndedSchedulerAreStated(t *testing.T) {
+func TestRunsOfAFormerSchedulerAreStated(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	s, id := f.scheduler(), f.other()
 	for no := uint64(1); no <= 5; no++ {
@@ -189,7 +189,7 @@
 	assert.Positive(t, n.pools[serviceID(engines)].order[0].backlog(prefill.Prior, f.now))
 }
 
-func TestAgainAvoidsTheUpstreamThatFailed(t *testing.T) {
+func TestRetryAvoidsTheFailedUpstream(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	f.arrive(id, 1, engines, "a", 500)
@@ -199,21 +199,21 @@
 	assert.NotEqual(t, first, f.placed(id, 1).Instance.ID)
 }
 
-func TestCacheForgetsTheLeastRecentlyUsed(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newCache(100)
 	c.add(1, 40, true, start)
 	c.add(2, 40, true, start)
 	c.add(1, 40, true, start)
 	c.add(3, 40, false, start)
 	c.fit(0)
-	assert.Equal(t, 40, readyOf(c, []wire.PromptPart{{Part: 1, Tokens: 40}, {Part: 2, Tokens: 40}}))
-	assert.Zero(t, readyOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}), "not read yet")
-	assert.Equal(t, 40, keptOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}))
+	assert.Equal(t, 40, readyTokensOf(c, []wire.PromptPart{{Part: 1, Tokens: 40}, {Part: 2, Tokens: 40}}))
+	assert.Zero(t, readyTokensOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}), "not read yet")
+	assert.Equal(t, 40, cachedTokensOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}))
 	c.fit(80)
-	assert.Zero(t, readyOf(c, []wire.PromptPart{{Part: 1, Tokens: 40}}), "running requests need the memory")
+	assert.Zero(t, readyTokensOf(c, []wire.PromptPart{{Part: 1, Tokens: 40}}), "running requests need the memory")
 }
 
-func TestPeerThatKnowsMoreIsAsked(t *testing.T) {
+func TestNewerContentIsFetchedFromAPeer(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	a, b := f.order[0], f.order[1]
 	f.nodes[a].Step(Catalogue{Table: table(t, 1), Instances: instances(2), Revision: 20, AsOf: 20}, f.now)
@@ -248,13 +248,13 @@
 	}
 	assert.Equal(t, 20*2050, u.memory())
 	assert.Equal(t, 46_000, u.cache.used)
-	assert.Equal(t, 6000, keptOf(u.cache, []wire.PromptPart{shared}))
+	assert.Equal(t, 6000, cachedTokensOf(u.cache, []wire.PromptPart{shared}))
 }
 
 // Every upstream of a plain service fails almost
 // half of its requests, so all rest at times; refusing everything meanwhile serves
 // nobody.
-func TestWhenAllRestOneIsTried(t *testing.T) {
+func TestEjectedUpstreamIsTriedIfAllAreEjected(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	for _, service := range []string{counter, engines} {
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -30,8 +30,8 @@
 	f.deliver()
 }
 
-// spreadOver puts instances in turn into places.
-func spreadOver(list []routing.Instance, places ...string) []routing.Instance {
+// spreadOverPlaces puts instances in turn into places.
+func spreadOverPlaces(list []routing.Instance, places ...string) []routing.Instance {
 	for i := range list {
 		list[i].Place = places[i%len(places)]
 	}
@@ -40,7 +40,7 @@
 
 func TestEvacuatedPlaceGetsNothing(t *testing.T) {
 	f := newFleet(t, 3, 6)
-	list := spreadOver(instances(6), "p", "q")
+	list := spreadOverPlaces(instances(6), "p", "q")
 	f.publishAll(list, "p")
 	for i := range 60 {
 		id, service := f.order[i%3], []string{engines, counter}[i%2]
@@ -63,10 +63,10 @@
 }
 
 // The router knows of the evacuation, its scheduler does not yet, or the other way round.
-func TestEvacuationThatOneSideHeardOfBinds(t *testing.T) {
+func TestEvacuationKnownToOneSideApplies(t *testing.T) {
 	for _, schedulerKnows := range []bool{true, false} {
 		f := newFleet(t, 3, 6)
-		list := spreadOver(instances(6), "p", "q")
+		list := spreadOverPlaces(instances(6), "p", "q")
 		f.publishAll(list)
 		f.publish(map[bool]wire.NodeID{true: f.scheduler(), false: f.other()}[schedulerKnows], list, "p")
 		for i := range 30 {
@@ -80,7 +80,7 @@
 func TestWithdrawnPlacementCostsNoRetry(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	id := f.other()
-	list := spreadOver(instances(6), "p", "q")
+	list := spreadOverPlaces(instances(6), "p", "q")
 	f.publishAll(list, "q")
 	f.arrive(id, 1, engines, "a", 500)
 	require.Equal(t, "p", f.placed(id, 1).Instance.Place)
@@ -93,7 +93,7 @@
 
 func TestServiceWhollyEvacuatedIsRefusedAtOnce(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.publishAll(spreadOver(instances(4), "p", "q"), "p", "q")
+	f.publishAll(spreadOverPlaces(instances(4), "p", "q"), "p", "q")
 	for i, service := range []string{engines, counter} {
 		f.arrive(f.other(), uint64(i+1), service, "a", 500)
 		r, refused := f.got[f.other()][uint64(i+1)].(Refuse)
@@ -105,9 +105,9 @@
 
 // Load pattern: two of three engines are evacuated while one organisation floods and another
 // asks for an eighth of that. By the capacity of all three both were refused alike.
-func TestEvacuationCutsShares(t *testing.T) {
+func TestEvacuationReducesShares(t *testing.T) {
 	f := newFleet(t, 3, 3)
-	list := spreadOver(instances(3), "p", "q")
+	list := spreadOverPlaces(instances(3), "p", "q")
 	list[2].Place = "q"
 	f.publishAll(list)
 	whole := f.nodes[f.order[0]].pools[serviceID(engines)].meter.capacity
@@ -125,7 +125,7 @@
 
 func TestPartsAreNotFetchedFromAnEvacuatedPlace(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	list := spreadOver(instances(4), "p", "q")
+	list := spreadOverPlaces(instances(4), "p", "q")
 	f.publishAll(list, "q")
 	parts := []wire.PromptPart{{Part: 11, Tokens: 6000}}
 	id := f.order[0]
@@ -139,13 +139,13 @@
 	assert.Empty(t, f.placed(id, 2).Source)
 }
 
-// evacuationHeard returns, for each router, how long after a change of the store it has
+// evacuationDelays returns, for each router, how long after a change of the store it has
 // heard of it: those that watch read it up to gather late, and datagrams are lost.
-func evacuationHeard(t *testing.T, routers int, loss float64, seed uint64) []time.Duration {
+func evacuationDelays(t *testing.T, routers int, loss float64, seed uint64) []time.Duration {
 	const gather = 150 * time.Millisecond // between two reads of the store, internal/process
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	f := newFleet(t, routers, 2)
-	f.see(3 * time.Second)
+	f.runReadingStore(3 * time.Second)
 	f.lose = func() bool { return rnd.Float64() < loss }
 	began := f.now
 	from, to := f.nodes[f.order[0]].catalogue.AsOf, f.nodes[f.order[0]].catalogue.AsOf+1
@@ -193,13 +193,13 @@
 // what 363 routers take, so they run when EVACUATION_ROUTERS asks for them.
 func TestEvacuationIsKnownToAllWithinASecond(t *testing.T) {
 	runs := map[int]int{8: 10, 91: 1}
-	if routers := number(t, "EVACUATION_ROUTERS", 0); routers > 0 {
-		runs[routers] = number(t, "EVACUATION_RUNS", 1)
+	if routers := intFromEnv(t, "EVACUATION_ROUTERS", 0); routers > 0 {
+		runs[routers] = intFromEnv(t, "EVACUATION_RUNS", 1)
 	}
 	for routers, times := range runs {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			for seed := range times {
-				heard := evacuationHeard(t, routers, 0.03, uint64(seed))
+				heard := evacuationDelays(t, routers, 0.03, uint64(seed))
 				require.Len(t, heard, routers)
 				last := time.Duration(0)
 				for _, d := range heard {
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -21,17 +21,17 @@
 // fleet is a few nodes with a network between them that can lose everything to and
 // from some.
 type fleet struct {
-	t     *testing.T
-	now   time.Time
-	nodes map[wire.NodeID]*Node
-	order []wire.NodeID
-	cut   map[wire.NodeID]bool
-	got   map[wire.NodeID]map[uint64]Output // Place or Refuse
-	evs   []Event
-	sends map[wire.NodeID]int // datagrams, when they are counted
-	lose  func() bool         // whether a datagram is lost; nil loses none
-
-	split func(a, b wire.NodeID) bool // whether two routers are cut from each other; may be nil
+	t      *testing.T
+	now    time.Time
+	nodes  map[wire.NodeID]*Node
+	order  []wire.NodeID
+	cut    map[wire.NodeID]bool
+	got    map[wire.NodeID]map[uint64]Output // Place or Refuse
+	events []Event
+	sends  map[wire.NodeID]int // datagrams, when they are counted
+	lose   func() bool         // whether a datagram is lost; nil loses none
+
+	partitioned func(a, b wire.NodeID) bool // whether two routers are cut from each other; may be nil
 
 	onApply func(id wire.NodeID, d *wire.StoreDelta) // a peer's news of the store; may be nil
 	onFetch func(id, from wire.NodeID)               // a read of a peer's content; may be nil
@@ -98,7 +98,7 @@
 					if f.onSend != nil {
 						f.onSend(id, o)
 					}
-					if to := f.nodes[o.To]; to != nil && !f.cut[id] && !f.cut[o.To] && (f.split == nil || !f.split(id, o.To)) && (f.lose == nil || !f.lose()) {
+					if to := f.nodes[o.To]; to != nil && !f.cut[id] && !f.cut[o.To] && (f.partitioned == nil || !f.partitioned(id, o.To)) && (f.lose == nil || !f.lose()) {
 						raw, err := wire.Encode(o.Datagram)
 						require.NoError(f.t, err)
 						d, err := wire.Decode(raw)
@@ -108,7 +108,7 @@
 					}
 				case FetchSnapshot:
 					moved = true
-					f.handOver(id, o.From)
+					f.transferSnapshot(id, o.From)
 				case ApplyDelta:
 					if f.onApply != nil {
 						f.onApply(id, o.Delta)
@@ -123,15 +123,15 @@
 				case Refuse:
 					f.got[id][o.ID] = o
 				case Event:
-					f.evs = append(f.evs, o)
+					f.events = append(f.events, o)
 				}
 			}
 		}
 	}
 }
 
-// handOver carries a snapshot between peers, as it is encoded.
-func (f *fleet) handOver(to, from wire.NodeID) {
+// transferSnapshot carries a snapshot between peers, as it is encoded.
+func (f *fleet) transferSnapshot(to, from wire.NodeID) {
 	if f.cut[to] || f.cut[from] || f.nodes[from] == nil {
 		return
 	}
@@ -179,12 +179,12 @@
 	return ""
 }
 
-func keptOf(c *cache, parts []wire.PromptPart) int {
+func cachedTokensOf(c *cache, parts []wire.PromptPart) int {
 	kept, _ := c.prefix(parts)
 	return kept
 }
 
-func readyOf(c *cache, parts []wire.PromptPart) int {
+func readyTokensOf(c *cache, parts []wire.PromptPart) int {
 	_, ready := c.prefix(parts)
 	return ready
 }
--- a/internal/dispatch/heartbeat_test.go
+++ b/internal/dispatch/heartbeat_test.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// countSends runs a fleet and returns the datagrams that each router sent a second.
-func (f *fleet) countSends(d time.Duration) map[wire.NodeID]float64 {
+// sendRates runs a fleet and returns the datagrams that each router sent a second.
+func (f *fleet) sendRates(d time.Duration) map[wire.NodeID]float64 {
 	f.sends = map[wire.NodeID]int{}
 	f.run(d)
 	out := map[wire.NodeID]float64{}
@@ -24,14 +24,14 @@
 // Load pattern: nothing but regular messages, in fleets of 20 and 60 routers. Each router
 // told every other one, 40 datagrams a second in either; now only those do who schedule or
 // read the store, and what the others send does not grow.
-func TestRegularMessagesStayFewInALargeFleet(t *testing.T) {
+func TestHeartbeatRateIsBoundedInALargeFleet(t *testing.T) {
 	for _, routers := range []int{20, 60} {
 		f := newFleet(t, routers, 2)
-		f.see(4 * time.Second)
+		f.runReadingStore(4 * time.Second)
 		n := f.nodes[f.order[0]]
 		tellers := n.announcers(n.groupMembers(f.now), f.now)
 		assert.LessOrEqual(t, len(tellers), 3*schedulerGroupSize)
-		for id, rate := range f.countSends(5 * time.Second) {
+		for id, rate := range f.sendRates(5 * time.Second) {
 			most := 14.0 // ten to heirs, a probe and answers to probes
 			if contains(tellers, id) {
 				most += float64(time.Second / heartbeatIntervalPerRouter)
@@ -53,7 +53,7 @@
 // Everyone hears of a reading of the store well before it looks for itself.
 func TestReadingsReachEveryRouterOfALargeFleetInTime(t *testing.T) {
 	f := newFleet(t, 60, 2)
-	f.see(6 * time.Second)
+	f.runReadingStore(6 * time.Second)
 	for range 80 {
 		for _, id := range f.order {
 			if n := f.nodes[id]; n.IsWatcher(f.now) && f.now.Sub(n.store.at) >= storeReadInterval {
@@ -68,7 +68,7 @@
 }
 
 // What runs is known to the heirs within a second, whatever the fleet's size.
-func TestHeirsOfALargeFleetKnowWhatRuns(t *testing.T) {
+func TestSchedulerGroupKnowsLoadsInALargeFleet(t *testing.T) {
 	f := newFleet(t, 60, 2)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
 	f.arrive(ranked[len(ranked)-1], 1, engines, "a", 2000)
@@ -85,7 +85,7 @@
 
 // A router that starts again and takes the scheduler's role is told at once what all
 // others run.
-func TestRestartedSchedulerOfALargeFleetKnowsWhatRuns(t *testing.T) {
+func TestRestartedSchedulerReceivesLoadsInALargeFleet(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
 	first, last := ranked[0], ranked[len(ranked)-1]
@@ -116,7 +116,7 @@
 
 // The slack of the retry budget is given once: all parts together are the whole, and a
 // router that has heard of nobody's requests takes none by demand.
-func TestSlackIsGivenOnceInALargeFleet(t *testing.T) {
+func TestRetrySlackIsSharedOnceInALargeFleet(t *testing.T) {
 	f := newFleet(t, 30, 2)
 	no := uint64(0)
 	for i, id := range f.order {
@@ -146,7 +146,7 @@
 // Load pattern: all routers of a large fleet start together, before the operators' first
 // table. The seeds read the store; the others wait to hear of it, and look for themselves
 // when they hear nothing.
-func TestStartersLeaveTheStoreToTheSeeds(t *testing.T) {
+func TestStartingRoutersLeaveTheStoreToTheSeeds(t *testing.T) {
 	seeds := []wire.NodeID{"10.1.0.0:1", "10.1.0.1:1"}
 	at := func(id wire.NodeID) *Node {
 		return New(Settings{ID: id, Inc: 1, Place: "p", Seeds: seeds, First: true, Seed: 3}, start)
@@ -163,7 +163,7 @@
 // Load pattern: all routers lose power under load, and the seeds come back last. The others
 // read the store themselves within a third of a second, once; of many only a few do before
 // they can have heard of the first one's reading.
-func TestRoutersThatStartAgainReadTheStoreSoon(t *testing.T) {
+func TestRestartedRoutersReadTheStoreSoon(t *testing.T) {
 	early := 0
 	for seed := range uint64(585) {
 		n := New(Settings{ID: "10.1.0.9:1", Inc: 1, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Seed: seed}, start)
@@ -182,16 +182,16 @@
 
 // All routers lose power and start again together: a few list the store, and all others read
 // its content from them. Each of 585 listed 6,000 entries, 12 calls for each.
-func TestFleetThatStartsAgainListsTheStoreAFewTimes(t *testing.T) {
+func TestRestartedFleetListsTheStoreAFewTimes(t *testing.T) {
 	for _, listing := range []time.Duration{80 * time.Millisecond, 700 * time.Millisecond} {
-		startAgain(t, listing)
+		restartFleet(t, listing)
 	}
 }
 
-// startAgain starts a fleet again, in which a listing takes a time.
-func startAgain(t *testing.T, listing time.Duration) {
+// restartFleet starts a fleet again, in which a listing takes a time.
+func restartFleet(t *testing.T, listing time.Duration) {
 	const routers = 60
-	f := newPlacedFleet(t, routers, 5)
+	f := newMultiPlaceFleet(t, routers, 5)
 	for i, id := range f.order {
 		set := f.nodes[id].settings
 		set.Inc, set.Seed = 2, uint64(1000+i)
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -140,7 +140,7 @@
 		f.run(2 * minPlacementTimeout)
 	}
 	blamed := 0
-	for _, e := range f.evs {
+	for _, e := range f.events {
 		if e.Name == "scheduler-silent" {
 			blamed++
 		}
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -25,7 +25,7 @@
 
 // The scheduler placed requests of a router at an upstream that had told that router that it
 // leaves.
-func TestUpstreamThatToldOneRouterThatItLeavesGetsNothingFromTheScheduler(t *testing.T) {
+func TestLeaveNoticeToOneRouterReachesTheScheduler(t *testing.T) {
 	for _, routers := range []int{3, 20} {
 		f := newFleet(t, routers, 2)
 		id := f.other()
@@ -48,7 +48,7 @@
 
 // A plain upstream of a small fleet is chosen by each router, which hears of it within a
 // regular message though the first one was lost.
-func TestUpstreamThatLeavesIsToldAgain(t *testing.T) {
+func TestLostLeaveNoticeIsRepeated(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	id := f.order[0]
 	f.lose = func() bool { return true }
@@ -63,7 +63,7 @@
 }
 
 // An entry that was written before the upstream said that it leaves comes late.
-func TestEntryWrittenEarlierDoesNotTakeALeavingUpstreamBack(t *testing.T) {
+func TestStaleEntryDoesNotRestoreALeavingUpstream(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	id := f.order[0]
 	i := f.instanceOf(id, "c0")
@@ -74,7 +74,7 @@
 }
 
 // What was told of an upstream is forgotten once it has ended: its ID may come back.
-func TestLeavingUpstreamIsForgottenWhenItHasEnded(t *testing.T) {
+func TestEndedLeavingUpstreamIsForgotten(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	id := f.order[0]
 	n := f.nodes[id]
@@ -91,7 +91,7 @@
 
 // While thousands of upstreams are replaced each message named all that had said that they
 // leave, until the last of them had ended.
-func TestLeavingUpstreamIsToldForAWhile(t *testing.T) {
+func TestLeaveNoticeIsRepeatedForALimitedTime(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	id := f.other()
 	told := 0
--- a/internal/dispatch/relay_test.go
+++ b/internal/dispatch/relay_test.go
@@ -11,9 +11,9 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// newPlacedFleet is a fleet in several places. Every router applies what it is told of the
+// newMultiPlaceFleet is a fleet in several places. Every router applies what it is told of the
 // store's content, and reads from a peer what that has.
-func newPlacedFleet(t *testing.T, routers, places int) *fleet {
+func newMultiPlaceFleet(t *testing.T, routers, places int) *fleet {
 	f := &fleet{t: t, now: start, nodes: map[wire.NodeID]*Node{}, cut: map[wire.NodeID]bool{}, got: map[wire.NodeID]map[uint64]Output{}}
 	for i := range routers {
 		id := wire.NodeID(fmt.Sprintf("10.1.%d.%d:1", i%places, i))
@@ -23,17 +23,17 @@
 		f.order = append(f.order, id)
 		f.got[id] = map[uint64]Output{}
 	}
-	f.onApply = func(id wire.NodeID, d *wire.StoreDelta) { f.know(id, d.To) }
+	f.onApply = func(id wire.NodeID, d *wire.StoreDelta) { f.learnUpTo(id, d.To) }
 	f.onFetch = func(id, from wire.NodeID) {
 		if peer := f.nodes[from]; !f.cut[id] && !f.cut[from] && peer.catalogue.Table != nil && peer.catalogue.AsOf > f.nodes[id].catalogue.AsOf {
-			f.know(id, peer.catalogue.AsOf)
+			f.learnUpTo(id, peer.catalogue.AsOf)
 		}
 	}
 	return f
 }
 
 // know lets a router know the store's content up to a revision.
-func (f *fleet) know(id wire.NodeID, asOf uint64) {
+func (f *fleet) learnUpTo(id wire.NodeID, asOf uint64) {
 	n := f.nodes[id]
 	if asOf <= n.catalogue.AsOf {
 		return
@@ -44,12 +44,12 @@
 // readChange lets a router that reads the store find a change.
 func (f *fleet) readChange(id wire.NodeID, to uint64, table bool) {
 	from := f.nodes[id].catalogue.AsOf
-	f.know(id, to)
+	f.learnUpTo(id, to)
 	f.nodes[id].Step(StoreRead{Delta: &wire.StoreDelta{From: from, To: to, Table: table}}, f.now)
 }
 
 // behind returns how many routers do not know the content up to a revision.
-func (f *fleet) behind(asOf uint64) (n int) {
+func (f *fleet) countBehind(asOf uint64) (n int) {
 	for _, id := range f.order {
 		if !f.cut[id] && f.nodes[id].catalogue.AsOf < asOf {
 			n++
@@ -63,8 +63,8 @@
 // in another place.
 func TestChangeCrossesIntoEachPlaceAFewTimes(t *testing.T) {
 	const routers, places = 60, 5
-	f := newPlacedFleet(t, routers, places)
-	f.see(6 * time.Second)
+	f := newMultiPlaceFleet(t, routers, places)
+	f.runReadingStore(6 * time.Second)
 	crossed := 0
 	f.onSend = func(from wire.NodeID, s Send) {
 		if s.Datagram.Work != nil && s.Datagram.Work.Delta != nil && f.nodes[from].settings.Place != f.nodes[s.To].settings.Place {
@@ -74,16 +74,16 @@
 	reader := f.watching()[0]
 	f.readChange(reader, 12, false)
 	f.deliver()
-	assert.Zero(t, f.behind(12))
+	assert.Zero(t, f.countBehind(12))
 	assert.LessOrEqual(t, crossed, relaysPerPlace*(places-1))
 }
 
 // A new table is read by the relays of each place from elsewhere, and by all others from
 // them. Each of 585 routers read it, with all entries, from one of three.
-func TestTableIsReadWithinThePlace(t *testing.T) {
+func TestTableIsFetchedWithinThePlace(t *testing.T) {
 	const routers, places = 60, 5
-	f := newPlacedFleet(t, routers, places)
-	f.see(6 * time.Second)
+	f := newMultiPlaceFleet(t, routers, places)
+	f.runReadingStore(6 * time.Second)
 	crossed, fetch := 0, f.onFetch
 	f.onFetch = func(id, from wire.NodeID) {
 		if f.nodes[id].settings.Place != f.nodes[from].settings.Place {
@@ -93,7 +93,7 @@
 	}
 	f.readChange(f.watching()[0], 13, true)
 	f.run(relayGracePeriod)
-	assert.Zero(t, f.behind(13))
+	assert.Zero(t, f.countBehind(13))
 	assert.LessOrEqual(t, crossed, relaysPerPlace*(places-1))
 	assert.Positive(t, crossed)
 }
@@ -101,9 +101,9 @@
 // A list is as of its first page, and may hold later entries. Two relays of a place that knew
 // such a list took each other for ahead, read from each other four times a second, and never
 // from the routers of other places that knew all changes since.
-func TestLaterEntriesOfAListAreNothingToRead(t *testing.T) {
-	f := newPlacedFleet(t, 60, 5)
-	f.see(6 * time.Second)
+func TestLaterEntriesOfAListingCauseNoFetch(t *testing.T) {
+	f := newMultiPlaceFleet(t, 60, 5)
+	f.runReadingStore(6 * time.Second)
 	for _, id := range f.order {
 		n := f.nodes[id]
 		n.Step(Catalogue{Table: n.catalogue.Table, Incremental: true, Revision: 40, AsOf: 20}, f.now)
@@ -114,20 +114,20 @@
 		reads++
 		fetch(id, from)
 	}
-	f.see(2 * time.Second)
+	f.runReadingStore(2 * time.Second)
 	assert.Zero(t, reads, "all know the same")
-	f.know(f.watching()[0], 45)
+	f.learnUpTo(f.watching()[0], 45)
 	for range 40 {
-		f.see(100 * time.Millisecond)
+		f.runReadingStore(100 * time.Millisecond)
 	}
-	assert.Zero(t, f.behind(45))
+	assert.Zero(t, f.countBehind(45))
 }
 
 // A router that hears from another place that it is behind leaves that to its relays for a
 // while, and reads from there only then.
 func TestChangesElsewhereAreLeftToTheRelays(t *testing.T) {
-	f := newPlacedFleet(t, 60, 5)
-	f.see(6 * time.Second)
+	f := newMultiPlaceFleet(t, 60, 5)
+	f.runReadingStore(6 * time.Second)
 	var id, far wire.NodeID
 	for _, other := range f.order {
 		n := f.nodes[other]
@@ -153,9 +153,9 @@
 
 // Where the relays of a place are gone and nobody has noticed yet, its routers read the
 // table from elsewhere.
-func TestTableIsReadWhereRelaysAreGone(t *testing.T) {
-	f := newPlacedFleet(t, 60, 5)
-	f.see(6 * time.Second)
+func TestTableIsFetchedWithoutRelays(t *testing.T) {
+	f := newMultiPlaceFleet(t, 60, 5)
+	f.runReadingStore(6 * time.Second)
 	reader := f.watching()[0]
 	for place, ids := range f.nodes[reader].relays(f.now) {
 		for _, id := range ids {
@@ -164,16 +164,16 @@
 	}
 	f.readChange(reader, 13, true)
 	for range 40 {
-		f.see(100 * time.Millisecond)
+		f.runReadingStore(100 * time.Millisecond)
 	}
-	assert.Zero(t, f.behind(13))
+	assert.Zero(t, f.countBehind(13))
 }
 
 // A scheduler that has just started and has no table says nothing. It said that the service
 // had no upstream, and callers were refused while all engines stood idle.
-func TestSchedulerWithoutATableIsPassedOver(t *testing.T) {
-	f := newPlacedFleet(t, 30, 5)
-	f.see(6 * time.Second)
+func TestSchedulerWithoutATableDoesNotReply(t *testing.T) {
+	f := newMultiPlaceFleet(t, 30, 5)
+	f.runReadingStore(6 * time.Second)
 	scheduler := f.scheduler()
 	set := f.nodes[scheduler].settings
 	set.Inc = 2
@@ -187,9 +187,9 @@
 // A read of the whole content takes longer than the pause between two reads. Routers that
 // started again asked anew every 0.3 s while the answer was on its way, and the relays served
 // each of them several times.
-func TestOneReadIsUnderWayAtATime(t *testing.T) {
-	f := newPlacedFleet(t, 30, 5)
-	f.see(6 * time.Second)
+func TestContentFetchesDoNotOverlap(t *testing.T) {
+	f := newMultiPlaceFleet(t, 30, 5)
+	f.runReadingStore(6 * time.Second)
 	id := f.order[7]
 	n := New(Settings{ID: id, Inc: 2, Place: f.nodes[id].settings.Place, Seeds: f.nodes[id].settings.Seeds, Retry: DefaultRetryRules}, f.now)
 	reads := func(d time.Duration) (count int) {
@@ -211,9 +211,9 @@
 }
 
 // Routers that start together before the first table read it within their place too.
-func TestFirstTableIsReadWithinThePlace(t *testing.T) {
+func TestFirstTableIsFetchedWithinThePlace(t *testing.T) {
 	const routers, places = 60, 5
-	f := newPlacedFleet(t, routers, places)
+	f := newMultiPlaceFleet(t, routers, places)
 	for _, id := range f.order {
 		f.nodes[id] = New(f.nodes[id].settings, f.now)
 	}
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -32,7 +32,7 @@
 
 // An engine that crashed behind a cut and started again under its ID holds and knows
 // nothing: neither what it kept, nor how busy, slow or failing it was, is believed of it.
-func TestUpstreamThatStartsAgainIsAnotherOne(t *testing.T) {
+func TestRestartedUpstreamIsTreatedAsNew(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.list(func(_ int, born *int64) { *born = 100 })
 	id := f.scheduler()
@@ -43,7 +43,7 @@
 	f.deliver()
 	n := f.nodes[id]
 	old := n.pools[serviceID(engines)].upstreams[version.IDOf(first.Instance.Start())]
-	require.Equal(t, 6000, keptOf(old.cache, parts))
+	require.Equal(t, 6000, cachedTokensOf(old.cache, parts))
 	gone := f.list(func(i int, born *int64) {
 		*born = 100
 		if i == 0 && first.Instance.ID == "e0" || i == 1 && first.Instance.ID == "e1" {
@@ -57,10 +57,10 @@
 	again.Born = 200
 	u := n.pools[serviceID(engines)].upstreams[version.IDOf(again.Start())]
 	require.NotNil(t, u)
-	assert.Zero(t, keptOf(u.cache, parts))
+	assert.Zero(t, cachedTokensOf(u.cache, parts))
 	assert.Zero(t, u.running())
 	n.Step(CacheUpdate{Instance: first.Instance.Start(), Full: true, Parts: []PartUpdate{{Part: 7, Tokens: 5000}}}, f.now)
-	assert.Zero(t, keptOf(u.cache, parts), "a report on the former start")
+	assert.Zero(t, cachedTokensOf(u.cache, parts), "a report on the former start")
 }
 
 // An upstream whose entry is removed may still serve: nothing is said to have ended.
--- a/internal/dispatch/scale_bench_test.go
+++ b/internal/dispatch/scale_bench_test.go
@@ -38,7 +38,7 @@
 	now := start
 	tab := scaleTable(t)
 	n.Step(Catalogue{Table: tab, Instances: scaleInstances(), Revision: 5, AsOf: 9}, now)
-	greet(n, now)
+	receiveFromAll(n, now)
 	n.Ready(now)
 	for range 300 {
 		now = now.Add(TickInterval)
@@ -49,7 +49,7 @@
 }
 
 // greet lets a router hear of all others, from each.
-func greet(n *Node, now time.Time) {
+func receiveFromAll(n *Node, now time.Time) {
 	for i := 1; i < scaleRouters; i++ {
 		u := scaleUpdate(i)
 		n.Step(Receive{Datagram: &wire.Datagram{From: u.ID, Inc: 1, Updates: []wire.Update{u, scaleUpdate((i + 7) % scaleRouters)}}}, now)
@@ -81,9 +81,9 @@
 	}
 }
 
-// BenchmarkScaleRegularMessage is what a router that schedules does for each regular message
+// BenchmarkScaleHeartbeat is what a router that schedules does for each regular message
 // of another one.
-func BenchmarkScaleRegularMessage(b *testing.B) {
+func BenchmarkScaleHeartbeat(b *testing.B) {
 	n, now := scaleNode(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/dispatch/store_test.go
+++ b/internal/dispatch/store_test.go
@@ -12,7 +12,7 @@
 )
 
 // see lets every router that watches read the store every so often.
-func (f *fleet) see(d time.Duration) {
+func (f *fleet) runReadingStore(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		for _, id := range f.order {
 			if !f.cut[id] && f.nodes[id].Watches(f.now) {
@@ -32,23 +32,23 @@
 	return ids
 }
 
-func TestFewRoutersOfALargeFleetWatch(t *testing.T) {
+func TestLargeFleetHasFewWatchers(t *testing.T) {
 	f := newFleet(t, 20, 2)
-	f.see(10 * time.Second)
+	f.runReadingStore(10 * time.Second)
 	assert.Len(t, f.watching(), watcherCount)
 	small := newFleet(t, watcherCount, 2)
-	small.see(5 * time.Second)
+	small.runReadingStore(5 * time.Second)
 	assert.Len(t, small.watching(), watcherCount, "in a small fleet all do")
 }
 
-func TestWatchersThatDieAreReplaced(t *testing.T) {
+func TestDeadWatchersAreReplaced(t *testing.T) {
 	f := newFleet(t, 20, 2)
-	f.see(10 * time.Second)
+	f.runReadingStore(10 * time.Second)
 	old := f.watching()
 	for _, id := range old {
 		f.cut[id] = true
 	}
-	f.see(20 * time.Second)
+	f.runReadingStore(20 * time.Second)
 	n := 0
 	for _, id := range f.watching() {
 		if !f.cut[id] {
@@ -60,14 +60,14 @@
 }
 
 // When no watcher can read the store, everyone looks for itself.
-func TestNoSightOfTheStoreMakesEveryoneLook(t *testing.T) {
+func TestAllRoutersReadTheStoreWithoutReadings(t *testing.T) {
 	f := newFleet(t, 20, 2)
-	f.see(10 * time.Second)
+	f.runReadingStore(10 * time.Second)
 	f.run(15 * time.Second) // nobody reads it
 	assert.Len(t, f.watching(), 20)
 }
 
-func TestDeltaIsAppliedWhereItFollows(t *testing.T) {
+func TestDeltaIsAppliedOnlyIfItFollows(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	a, b := f.order[0], f.order[1]
 	outs := func(d *wire.StoreDelta) []Output {
@@ -86,7 +86,7 @@
 	assert.Equal(t, uint64(40), f.nodes[b].newerContent[a].revision)
 }
 
-func TestEveryRouterIsToldOfAChange(t *testing.T) {
+func TestChangeIsSentToEveryRouter(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.nodes[f.order[0]].Step(StoreRead{Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
 	told := map[wire.NodeID]bool{}
@@ -101,10 +101,10 @@
 // A router that is cut off from its peers still reaches the store: it must look for
 // itself well before the bounds on leaving upstreams and new tables, 2 s with 8
 // routers and 3 s with 60. It took 4 to 7 s before.
-func TestRouterCutFromItsPeersLooksForItself(t *testing.T) {
+func TestIsolatedRouterReadsTheStoreItself(t *testing.T) {
 	for routers, bound := range map[int]time.Duration{8: 1700 * time.Millisecond, 60: 2600 * time.Millisecond} {
 		f := newFleet(t, routers, 2)
-		f.see(10 * time.Second)
+		f.runReadingStore(10 * time.Second)
 		var lone wire.NodeID
 		for _, id := range f.order {
 			if !f.nodes[id].Watches(f.now) {
@@ -115,7 +115,7 @@
 		f.cut[lone] = true
 		began := f.now
 		for !f.nodes[lone].Watches(f.now) && f.now.Sub(began) < bound {
-			f.see(100 * time.Millisecond)
+			f.runReadingStore(100 * time.Millisecond)
 		}
 		assert.True(t, f.nodes[lone].Watches(f.now), "%d routers", routers)
 	}
@@ -123,9 +123,9 @@
 
 // An old reading that goes round does not look young: only a reading that was not
 // heard of before counts.
-func TestReadingPassedOnDoesNotGetYounger(t *testing.T) {
+func TestForwardedReadingKeepsItsAge(t *testing.T) {
 	f := newFleet(t, 8, 2)
-	f.see(10 * time.Second)
+	f.runReadingStore(10 * time.Second)
 	for range 50 {
 		f.run(100 * time.Millisecond) // nobody reads the store, all tell each other
 	}
@@ -136,9 +136,9 @@
 
 // Routers that the store turns away are not chosen to watch, until they are tried
 // again.
-func TestWatchersThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
+func TestWatchersWithoutStoreAccessAreReplaced(t *testing.T) {
 	f := newFleet(t, 20, 2)
-	f.see(10 * time.Second)
+	f.runReadingStore(10 * time.Second)
 	away := map[wire.NodeID]bool{}
 	for _, id := range f.watching() {
 		away[id] = true
@@ -171,9 +171,9 @@
 
 // What is missing after an outage may have lapsed in it. Routers that did not watch
 // hear of the outage with the reading that ended it.
-func TestReturnOfTheStoreIsTold(t *testing.T) {
+func TestStoreRecoveryIsAnnounced(t *testing.T) {
 	f := newFleet(t, 8, 2)
-	f.see(5 * time.Second)
+	f.runReadingStore(5 * time.Second)
 	f.nodes[f.order[0]].Step(StoreRead{Recovered: true, Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
 	for _, id := range f.order[1:] {
 		f.nodes[id].Ready(f.now)
@@ -203,7 +203,7 @@
 
 // A router that started after the store had come back from a copy listed an older table than
 // its peers hold, as of the same revision, and never read theirs.
-func TestRouterWithTheCopysTableReadsTheNewerOneOfAPeer(t *testing.T) {
+func TestNewerTableOfAPeerIsFetchedAtTheSameRevision(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	newer, id := f.order[0], f.order[1]
 	b := routing.Builder{Number: 2}
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -16,7 +16,7 @@
 // starts again, and takes the role as soon as it is heard. It knows the window, the engines
 // and what they keep within a few milliseconds; before, it knew what was booked from then
 // on, and placed for the flood as for one that has had nothing.
-func TestRestartedSchedulerKnowsTheWindow(t *testing.T) {
+func TestRestartedSchedulerTakesOverTheWindow(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	p := serviceID(engines)
 	first, other := f.scheduler(), f.other()
@@ -39,13 +39,13 @@
 	got := f.nodes[first].pools[p]
 	assert.Greater(t, got.meter.over(flood, f.now), 1.0)
 	assert.InDelta(t, total(&next.pools[p].meter.at(flood, f.now).got), total(&got.meter.at(flood, f.now).got), 1)
-	assert.Equal(t, 3000, keptOf(got.upstreams[u.id].cache, []wire.PromptPart{part}))
+	assert.Equal(t, 3000, cachedTokensOf(got.upstreams[u.id].cache, []wire.PromptPart{part}))
 	f.run(2 * bookedEvery)
 	assert.InDelta(t, 2_000_000, total(&got.meter.at(flood, f.now).got), 5000, "what was told with the snapshot is not told again")
 }
 
 // What a scheduler told with a snapshot it does not tell again with what it books.
-func TestSnapshotIsNotToldTwice(t *testing.T) {
+func TestUsageInASnapshotIsNotReplicatedAgain(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	p := serviceID(engines)
 	ranked := f.nodes[f.order[0]].ranked(p, f.now)
@@ -68,7 +68,7 @@
 }
 
 // An heir that does not answer is passed over for the other one, and not asked for ever.
-func TestSnapshotIsAskedOfEachHeirInTurn(t *testing.T) {
+func TestSnapshotIsRequestedFromEachGroupMemberInTurn(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	p := serviceID(engines)
 	n := f.nodes[f.nodes[f.order[0]].ranked(p, f.now)[0]]
@@ -93,7 +93,7 @@
 }
 
 // A peer's figures that are none, and windows that are too short or too long, do no harm.
-func TestNonsenseInASnapshotIsNotBelieved(t *testing.T) {
+func TestInvalidSnapshotValuesAreIgnored(t *testing.T) {
 	m := newMeter(1000)
 	nan := float32(math.NaN())
 	m.applySnapshot([]wire.OrgWindow{
--- a/internal/dispatch/unknown_fleet_test.go
+++ b/internal/dispatch/unknown_fleet_test.go
@@ -13,7 +13,7 @@
 
 // Load pattern: forty routers start anew at once, know nothing of each other, and have a
 // request each for ten engines with nothing to read. All forty went to the same engine.
-func TestRoutersThatKnowNoFleetSpreadOverEngines(t *testing.T) {
+func TestRoutersWithoutFleetSpreadOverEngines(t *testing.T) {
 	got := map[string]int{}
 	for i := range 40 {
 		n := New(Settings{ID: wire.NodeID(fmt.Sprintf("10.1.0.%d:1", i)), Inc: 2, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: DefaultRetryRules}, start)
@@ -35,7 +35,7 @@
 }
 
 // The fleet's scheduler chooses as before: by cost alone.
-func TestSchedulerKeepsItsOrder(t *testing.T) {
+func TestSchedulerChoosesByCostAlone(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
 	f.arrive(f.scheduler(), 1, engines, "a", 2000)
@@ -45,7 +45,7 @@
 
 // Load pattern: 195 routers lose power, and the seeds come back last. A router that has
 // heard nobody asks no engine for all that it keeps.
-func TestRouterThatKnowsNoFleetAsksNoEngines(t *testing.T) {
+func TestRouterWithoutFleetSchedulesNoEngines(t *testing.T) {
 	n := New(Settings{ID: "10.1.0.9:1", Inc: 2, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: DefaultRetryRules}, start)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(4), Revision: 5, AsOf: 9}, start)
 	assert.Empty(t, n.ScheduledEngines(start))
