--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -11,12 +11,12 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// coldRate and coldRules are those of a sheet: 19.7 requests in any second at most.
+// coldRate and coldRules are typical settings: at most 19.7 requests in any second.
 const coldRate = 9.8
 
 var coldRules = ColdRules{Overage: 1.5, Slack: 5}
 
-// coldTable is the table with engines that are cold for three seconds after a start.
+// coldTable returns a table whose engines are cold for three seconds after a start.
 func coldTable(t *testing.T) *routing.Table {
 	t.Helper()
 	tab := table(t, 390_000)
@@ -24,7 +24,7 @@
 	return tab
 }
 
-// newColdFleet is a fleet whose engines bound what they take while they are cold.
+// newColdFleet returns a fleet whose engines limit the requests they get while cold.
 func newColdFleet(t *testing.T, nodes, ups int) *fleet {
 	f := newFleet(t, nodes, ups)
 	for _, id := range f.order {
@@ -36,7 +36,7 @@
 	return f
 }
 
-// turnCold publishes that some engines are cold for a time.
+// turnCold publishes that some engines are cold for a duration.
 func (f *fleet) turnCold(ups int, d time.Duration, which ...int) {
 	list := instances(ups)
 	for _, i := range which {
@@ -45,8 +45,8 @@
 	f.publishAll(list)
 }
 
-// press sends requests by all routers in turn for a time, and returns when each engine got
-// one. Each request ends at once.
+// sendRequests sends requests through all routers in turn for a duration, and returns when each
+// engine got one. Each request ends at once.
 func (f *fleet) sendRequests(d time.Duration, perTick int, no *uint64) map[string][]time.Time {
 	got := map[string][]time.Time{}
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -67,7 +67,7 @@
 	return got
 }
 
-// maxPerSecond is the most times within any second.
+// maxPerSecond returns the largest number of times within any second.
 func maxPerSecond(at []time.Time) int {
 	most, from := 0, 0
 	for i := range at {
@@ -79,7 +79,7 @@
 	return most
 }
 
-// Load pattern: 200 requests a second at an engine that is cold.
+// Load pattern: 200 requests a second for a cold engine.
 func TestColdUpstreamGetsItsRateAndNoBurst(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	no := uint64(0)
@@ -87,7 +87,7 @@
 	f.turnCold(1, 3*time.Second, 0)
 	got := f.sendRequests(3*time.Second, 2, &no)["e0"]
 	assert.LessOrEqual(t, maxPerSecond(got), 9)
-	assert.GreaterOrEqual(t, float64(len(got)), 0.9*(coldRate*2), "no idling: what was placed before it turned cold fills the first second")
+	assert.GreaterOrEqual(t, float64(len(got)), 0.9*(coldRate*2), "the rate is used up; placements before it turned cold fill the first second")
 	for i := 1; i < len(got); i++ {
 		assert.GreaterOrEqual(t, got[i].Sub(got[i-1]), 40*time.Millisecond)
 	}
@@ -95,7 +95,7 @@
 	assert.Greater(t, len(got), 100, "it is warm")
 }
 
-// What was placed before an engine turned cold may arrive after.
+// Requests that were placed before an engine turned cold may arrive after.
 func TestPlacementsBeforeItTurnedColdCount(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	no := uint64(0)
@@ -126,7 +126,7 @@
 	assert.Equal(t, ReasonCold, r.Reason)
 }
 
-// A scheduler that has just taken the role does not know what the former one placed.
+// A scheduler that has just taken the role does not know its predecessor's placements.
 func TestNewSchedulerWaitsForItsPredecessorsPlacements(t *testing.T) {
 	f := newColdFleet(t, 5, 2)
 	f.turnCold(2, 30*time.Second, 0)
@@ -139,7 +139,7 @@
 	assert.GreaterOrEqual(t, got[0].Sub(died), coldWindow)
 }
 
-// A scheduler that is cut off does not know that another one has its role.
+// A scheduler that is cut off does not know that another router has its role.
 func TestIsolatedSchedulerAvoidsColdUpstreams(t *testing.T) {
 	f := newColdFleet(t, 5, 1)
 	s := f.scheduler()
@@ -156,7 +156,7 @@
 	}
 }
 
-// A place that is taken back may be cold as a whole, before its entries say so.
+// A returned place may be cold as a whole before its entries say so.
 func TestReturnedPlaceIsCold(t *testing.T) {
 	f := newColdFleet(t, 3, 4)
 	list := spreadOverPlaces(instances(4), "p", "q")
@@ -172,7 +172,7 @@
 	assert.Greater(t, maxPerSecond(f.sendRequests(2*time.Second, 2, &no)["e0"]), 20)
 }
 
-// An upstream that starts again under its ID is cold, also when its entry says nothing.
+// An upstream that restarts under its ID is cold, even if its entry does not say so.
 func TestRestartedUpstreamIsCold(t *testing.T) {
 	f := newColdFleet(t, 3, 2)
 	list := instances(2)
@@ -186,8 +186,8 @@
 	assert.LessOrEqual(t, maxPerSecond(f.sendRequests(3*time.Second, 2, &no)["e0"]), 9)
 }
 
-// An upstream that answers nothing for seconds may start again under the same entry: until
-// that is written anew nobody says that it is cold.
+// An upstream that answers nothing for seconds may restart under the same entry. Until the entry
+// is rewritten, nothing says that the upstream is cold.
 func TestSilentUpstreamIsTakenForCold(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	id := f.scheduler()
@@ -208,13 +208,13 @@
 	f.run(time.Second)
 	end(100, wire.NoteDone)
 	until, _ = u.coldUntil()
-	assert.Equal(t, 3*time.Second-100*time.Millisecond, until.Sub(f.now), "it has started by its first answer")
+	assert.Equal(t, 3*time.Second-100*time.Millisecond, until.Sub(f.now), "by its first answer it has started")
 	end(101, wire.NoteDone)
 	again, _ := u.coldUntil()
 	assert.Equal(t, until, again)
 }
 
-// One that loses some answers is not: others come.
+// An upstream that loses only some answers is not taken for cold, since others arrive.
 func TestUpstreamThatLosesSomeAnswersIsNotTakenForCold(t *testing.T) {
 	f := newColdFleet(t, 3, 1)
 	id := f.scheduler()
@@ -249,12 +249,12 @@
 	assert.False(t, cold.MaySend(time.Time{}, start.Add(coldSendTimeout)))
 	warm := Placement{}
 	assert.True(t, warm.MaySend(time.Time{}, start))
-	assert.True(t, warm.MaySend(start.Add(coldEndTolerance), start), "it may be warm by now")
+	assert.True(t, warm.MaySend(start.Add(coldEndTolerance), start), "it may have warmed up since")
 	assert.False(t, warm.MaySend(start.Add(time.Second), start), "it has turned cold since")
 }
 
-// A plain service's routers choose for themselves in a small fleet, but for cold upstreams
-// the sum over all of them counts.
+// In a small fleet the routers place a plain service's requests themselves, but for cold
+// upstreams the sum over all routers counts.
 func TestColdPlainUpstreamsAreScheduled(t *testing.T) {
 	f := newColdFleet(t, 4, 1)
 	for _, id := range f.order {
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -13,7 +13,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// publish gives a router the store's content with places that are evacuated.
+// publish gives a router the store's content with some places evacuated.
 func (f *fleet) publish(id wire.NodeID, list []routing.Instance, places ...string) {
 	n := f.nodes[id]
 	c := Catalogue{Table: n.catalogue.Table, Instances: list, Revision: n.catalogue.Revision + 1, AsOf: n.catalogue.AsOf + 1}
@@ -30,7 +30,7 @@
 	f.deliver()
 }
 
-// spreadOverPlaces puts instances in turn into places.
+// spreadOverPlaces assigns instances to places in turn.
 func spreadOverPlaces(list []routing.Instance, places ...string) []routing.Instance {
 	for i := range list {
 		list[i].Place = places[i%len(places)]
@@ -49,7 +49,7 @@
 	}
 	for _, id := range f.order {
 		for _, i := range f.nodes[id].ScheduledEngines(f.now) {
-			assert.Equal(t, "q", i.Place, "nor is it asked what it keeps")
+			assert.Equal(t, "q", i.Place, "nor is its cache read")
 		}
 	}
 	f.publishAll(list)
@@ -59,10 +59,10 @@
 		f.arrive(id, uint64(i+100), engines, "a", 500)
 		seen[f.placed(id, uint64(i+100)).Instance.Place] = true
 	}
-	assert.True(t, seen["p"], "it was taken back")
+	assert.True(t, seen["p"], "the place was returned")
 }
 
-// The router knows of the evacuation, its scheduler does not yet, or the other way round.
+// Either the router knows of the evacuation and its scheduler does not, or the reverse.
 func TestEvacuationKnownToOneSideApplies(t *testing.T) {
 	for _, schedulerKnows := range []bool{true, false} {
 		f := newFleet(t, 3, 6)
@@ -76,7 +76,7 @@
 	}
 }
 
-// A request that was placed and not sent is placed again, and is no repeat.
+// A request that was placed and not sent is placed again, which does not count as a retry.
 func TestWithdrawnPlacementCostsNoRetry(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	id := f.other()
@@ -104,7 +104,7 @@
 }
 
 // Load pattern: two of three engines are evacuated while one organisation floods and another
-// asks for an eighth of that. By the capacity of all three both were refused alike.
+// asks for an eighth of the flood. By the capacity of all three both were refused alike.
 func TestEvacuationReducesShares(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	list := spreadOverPlaces(instances(3), "p", "q")
@@ -139,10 +139,10 @@
 	assert.Empty(t, f.placed(id, 2).Source)
 }
 
-// evacuationDelays returns, for each router, how long after a change of the store it has
-// heard of it: those that watch read it up to gather late, and datagrams are lost.
+// evacuationDelays returns for each router how long after a change of the store it learned of
+// it: the watchers read the store up to gather late, and datagrams are lost.
 func evacuationDelays(t *testing.T, routers int, loss float64, seed uint64) []time.Duration {
-	const gather = 150 * time.Millisecond // between two reads of the store, internal/process
+	const gather = 150 * time.Millisecond // between two readings of the store, internal/process
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	f := newFleet(t, routers, 2)
 	f.runReadingStore(3 * time.Second)
@@ -188,9 +188,9 @@
 	return out
 }
 
-// The aim is that the last request arrives within a second of the operators' word: the
-// rest of that second is for the store, the network and the connection. Half a minute is
-// what 363 routers take, so they run when EVACUATION_ROUTERS asks for them.
+// The last request must arrive within a second of the operators' evacuation; the rest of that
+// second is for the store, the network and the connection. 363 routers take half a minute, so
+// they run only when EVACUATION_ROUTERS asks for them.
 func TestEvacuationIsKnownToAllWithinASecond(t *testing.T) {
 	runs := map[int]int{8: 10, 91: 1}
 	if routers := intFromEnv(t, "EVACUATION_ROUTERS", 0); routers > 0 {
--- a/internal/dispatch/heartbeat_test.go
+++ b/internal/dispatch/heartbeat_test.go
@@ -10,7 +10,7 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// sendRates runs a fleet and returns the datagrams that each router sent a second.
+// sendRates runs a fleet and returns the datagrams per second that each router sent.
 func (f *fleet) sendRates(d time.Duration) map[wire.NodeID]float64 {
 	f.sends = map[wire.NodeID]int{}
 	f.run(d)
@@ -21,19 +21,19 @@
 	return out
 }
 
-// Load pattern: nothing but regular messages, in fleets of 20 and 60 routers. Each router
-// told every other one, 40 datagrams a second in either; now only those do who schedule or
-// read the store, and what the others send does not grow.
+// Load pattern: only heartbeats, in fleets of 20 and 60 routers. With a full mesh each router
+// sends 40 datagrams a second in either. Only schedulers and watchers may send to every router,
+// and what the others send must not grow with the fleet.
 func TestHeartbeatRateIsBoundedInALargeFleet(t *testing.T) {
 	for _, routers := range []int{20, 60} {
 		f := newFleet(t, routers, 2)
 		f.runReadingStore(4 * time.Second)
 		n := f.nodes[f.order[0]]
-		tellers := n.announcers(n.groupMembers(f.now), f.now)
-		assert.LessOrEqual(t, len(tellers), 3*schedulerGroupSize)
+		announcers := n.announcers(n.groupMembers(f.now), f.now)
+		assert.LessOrEqual(t, len(announcers), 3*schedulerGroupSize)
 		for id, rate := range f.sendRates(5 * time.Second) {
-			most := 14.0 // ten to heirs, a probe and answers to probes
-			if contains(tellers, id) {
+			most := 14.0 // ten heartbeats to scheduler groups, a probe and answers to probes
+			if contains(announcers, id) {
 				most += float64(time.Second / heartbeatIntervalPerRouter)
 			}
 			assert.LessOrEqual(t, rate, most, "%d routers, %s", routers, id)
@@ -50,7 +50,7 @@
 	return false
 }
 
-// Everyone hears of a reading of the store well before it looks for itself.
+// Every router must receive a reading of the store well before it would read the store itself.
 func TestReadingsReachEveryRouterOfALargeFleetInTime(t *testing.T) {
 	f := newFleet(t, 60, 2)
 	f.runReadingStore(6 * time.Second)
@@ -67,7 +67,7 @@
 	}
 }
 
-// What runs is known to the heirs within a second, whatever the fleet's size.
+// Scheduler groups know all running requests within a second, whatever the fleet's size.
 func TestSchedulerGroupKnowsLoadsInALargeFleet(t *testing.T) {
 	f := newFleet(t, 60, 2)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
@@ -83,8 +83,7 @@
 	return running
 }
 
-// A router that starts again and takes the scheduler's role is told at once what all
-// others run.
+// A router that restarts and becomes the scheduler must receive the loads of all others at once.
 func TestRestartedSchedulerReceivesLoadsInALargeFleet(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	ranked := f.nodes[f.order[0]].ranked(serviceID(engines), f.now)
@@ -104,18 +103,18 @@
 	assert.Equal(t, 6, f.runningAt(first))
 }
 
-// restart replaces a router by a process that knows only its seeds.
+// restart replaces a router by a new process that knows only its seeds.
 func (f *fleet) restart(id wire.NodeID) {
 	old := f.nodes[id]
-	set := old.settings
-	set.Inc++
-	n := New(set, f.now)
+	settings := old.settings
+	settings.Inc++
+	n := New(settings, f.now)
 	n.Step(wholeCatalogue(old), f.now)
 	f.nodes[id] = n
 }
 
-// The slack of the retry budget is given once: all parts together are the whole, and a
-// router that has heard of nobody's requests takes none by demand.
+// The slack of the retry budget is granted once: the fractions of all routers sum to one, and a
+// router that knows of no other router's requests gets none by demand.
 func TestRetrySlackIsSharedOnceInALargeFleet(t *testing.T) {
 	f := newFleet(t, 30, 2)
 	no := uint64(0)
@@ -143,9 +142,9 @@
 	assert.InDelta(t, 0.25, n.demandOf(serviceID(counter), f.now), 0.01)
 }
 
-// Load pattern: all routers of a large fleet start together, before the operators' first
-// table. The seeds read the store; the others wait to hear of it, and look for themselves
-// when they hear nothing.
+// Load pattern: all routers of a large fleet start together, before the operators' first table.
+// The seeds read the store; the others wait for their readings, and read the store themselves
+// if none come.
 func TestStartingRoutersLeaveTheStoreToTheSeeds(t *testing.T) {
 	seeds := []wire.NodeID{"10.1.0.0:1", "10.1.0.1:1"}
 	at := func(id wire.NodeID) *Node {
@@ -154,15 +153,15 @@
 	assert.True(t, at(seeds[0]).Watches(start))
 	n := at("10.1.0.9:1")
 	assert.False(t, n.Watches(start))
-	assert.True(t, n.Watches(start.Add(minFirstReadDelay+firstReadJitter)), "nobody is heard")
+	assert.True(t, n.Watches(start.Add(minFirstReadDelay+firstReadJitter)), "no other router is known")
 	n.Step(Receive{Datagram: &wire.Datagram{From: seeds[0], Inc: 1, Work: &wire.Work{Sight: &wire.StoreSight{By: seeds[0], Inc: 1, No: 1}}}}, start)
 	assert.False(t, n.Watches(start.Add(watchSettleDelay-time.Millisecond)))
-	assert.True(t, n.Watches(start.Add(10*time.Second)), "the seeds read it no more")
+	assert.True(t, n.Watches(start.Add(10*time.Second)), "the seeds no longer read it")
 }
 
-// Load pattern: all routers lose power under load, and the seeds come back last. The others
-// read the store themselves within a third of a second, once; of many only a few do before
-// they can have heard of the first one's reading.
+// Load pattern: all routers lose power under load, and the seeds come back last. The others read
+// the store themselves within a third of a second, once. In a large fleet only a few of them
+// read it before they can have received the first one's reading.
 func TestRestartedRoutersReadTheStoreSoon(t *testing.T) {
 	early := 0
 	for seed := range uint64(585) {
@@ -177,25 +176,25 @@
 	assert.Greater(t, early, 10)
 	assert.Less(t, early, 70)
 	seed := New(Settings{ID: "10.1.0.9:1", Inc: 1, Place: "p", Seeds: []wire.NodeID{"10.1.0.9:1"}}, start)
-	assert.True(t, seed.Watches(start), "a seed at once")
+	assert.True(t, seed.Watches(start), "a seed reads it at once")
 }
 
-// All routers lose power and start again together: a few list the store, and all others read
-// its content from them. Each of 585 listed 6,000 entries, 12 calls for each.
+// All routers lose power and restart together: a few must list the store, and all others fetch
+// its content from these. Each of 585 routers listed 6,000 entries in 12 calls.
 func TestRestartedFleetListsTheStoreAFewTimes(t *testing.T) {
 	for _, listing := range []time.Duration{80 * time.Millisecond, 700 * time.Millisecond} {
 		restartFleet(t, listing)
 	}
 }
 
-// restartFleet starts a fleet again, in which a listing takes a time.
+// restartFleet restarts a whole fleet in which a listing takes a given time.
 func restartFleet(t *testing.T, listing time.Duration) {
 	const routers = 60
 	f := newMultiPlaceFleet(t, routers, 5)
 	for i, id := range f.order {
-		set := f.nodes[id].settings
-		set.Inc, set.Seed = 2, uint64(1000+i)
-		f.nodes[id] = New(set, f.now)
+		settings := f.nodes[id].settings
+		settings.Inc, settings.Seed = 2, uint64(1000+i)
+		f.nodes[id] = New(settings, f.now)
 	}
 	take := func(id wire.NodeID) {
 		f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: instances(4), Revision: 5, AsOf: 9}, f.now)
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// instanceOf returns an upstream as a router knows it.
+// instanceOf returns an upstream as known by a router.
 func (f *fleet) instanceOf(id wire.NodeID, upstream string) routing.Instance {
 	f.t.Helper()
 	for _, i := range wholeCatalogue(f.nodes[id]).Instances {
@@ -23,8 +23,8 @@
 	return routing.Instance{}
 }
 
-// The scheduler placed requests of a router at an upstream that had told that router that it
-// leaves.
+// The scheduler placed requests of a router at an upstream that had announced to that router that
+// it was leaving.
 func TestLeaveNoticeToOneRouterReachesTheScheduler(t *testing.T) {
 	for _, routers := range []int{3, 20} {
 		f := newFleet(t, routers, 2)
@@ -35,7 +35,7 @@
 			f.arrive(from, uint64(i+1), engines, "a", 20)
 			assert.Equal(t, "e1", f.placed(from, uint64(i+1)).Instance.ID, "%d routers, asked by %s", routers, from)
 		}
-		assert.Equal(t, []string{"e1"}, idsOf(f.nodes[f.scheduler()].ScheduledEngines(f.now)), "nor is it asked what it keeps")
+		assert.Equal(t, []string{"e1"}, idsOf(f.nodes[f.scheduler()].ScheduledEngines(f.now)), "nor is its cache read")
 	}
 }
 
@@ -46,8 +46,8 @@
 	return out
 }
 
-// A plain upstream of a small fleet is chosen by each router, which hears of it within a
-// regular message though the first one was lost.
+// In a small fleet each router chooses a plain upstream itself. It must learn within a heartbeat
+// that one is leaving, even if the first notice was lost.
 func TestLostLeaveNoticeIsRepeated(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	id := f.order[0]
@@ -62,7 +62,7 @@
 	}
 }
 
-// An entry that was written before the upstream said that it leaves comes late.
+// An entry that was written before the upstream announced that it was leaving arrives late.
 func TestStaleEntryDoesNotRestoreALeavingUpstream(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	id := f.order[0]
@@ -73,7 +73,7 @@
 	assert.Equal(t, "c1", f.placed(id, 1).Instance.ID)
 }
 
-// What was told of an upstream is forgotten once it has ended: its ID may come back.
+// A notice is forgotten once the upstream has ended, since its ID may come back.
 func TestEndedLeavingUpstreamIsForgotten(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	id := f.order[0]
@@ -89,8 +89,8 @@
 	assert.Equal(t, "c0", f.placed(id, 1).Instance.ID)
 }
 
-// While thousands of upstreams are replaced each message named all that had said that they
-// leave, until the last of them had ended.
+// While thousands of upstreams were replaced, each message listed all that had announced that
+// they were leaving, until the last of them had ended.
 func TestLeaveNoticeIsRepeatedForALimitedTime(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	id := f.other()
@@ -100,11 +100,11 @@
 	f.run(2 * leavingNoticeTTL)
 	assert.Positive(t, told)
 	for _, other := range f.order {
-		assert.True(t, f.instanceOf(other, "e0").Draining, "everyone knows")
+		assert.True(t, f.instanceOf(other, "e0").Draining, "every router knows")
 	}
 	told = 0
 	f.run(time.Second)
 	assert.Zero(t, told)
 	f.arrive(f.other(), 1, engines, "a", 20)
-	assert.Equal(t, "e1", f.placed(f.other(), 1).Instance.ID, "and keeps to it")
+	assert.Equal(t, "e1", f.placed(f.other(), 1).Instance.ID, "the notice still applies")
 }
--- a/internal/dispatch/relay_test.go
+++ b/internal/dispatch/relay_test.go
@@ -11,8 +11,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// newMultiPlaceFleet is a fleet in several places. Every router applies what it is told of the
-// store's content, and reads from a peer what that has.
+// newMultiPlaceFleet returns a fleet in several places. Every router applies the changes that it
+// receives, and fetches from a peer what that peer has.
 func newMultiPlaceFleet(t *testing.T, routers, places int) *fleet {
 	f := &fleet{t: t, now: start, nodes: map[wire.NodeID]*Node{}, cut: map[wire.NodeID]bool{}, got: map[wire.NodeID]map[uint64]Output{}}
 	for i := range routers {
@@ -32,7 +32,7 @@
 	return f
 }
 
-// know lets a router know the store's content up to a revision.
+// learnUpTo gives a router the store's content up to a revision.
 func (f *fleet) learnUpTo(id wire.NodeID, asOf uint64) {
 	n := f.nodes[id]
 	if asOf <= n.catalogue.AsOf {
@@ -41,14 +41,14 @@
 	n.Step(Catalogue{Table: n.catalogue.Table, Incremental: true, Revision: asOf, AsOf: asOf}, f.now)
 }
 
-// readChange lets a router that reads the store find a change.
+// readChange makes a router that reads the store find a change.
 func (f *fleet) readChange(id wire.NodeID, to uint64, table bool) {
 	from := f.nodes[id].catalogue.AsOf
 	f.learnUpTo(id, to)
 	f.nodes[id].Step(StoreRead{Delta: &wire.StoreDelta{From: from, To: to, Table: table}}, f.now)
 }
 
-// behind returns how many routers do not know the content up to a revision.
+// countBehind returns how many routers lack content up to a revision.
 func (f *fleet) countBehind(asOf uint64) (n int) {
 	for _, id := range f.order {
 		if !f.cut[id] && f.nodes[id].catalogue.AsOf < asOf {
@@ -58,9 +58,9 @@
 	return n
 }
 
-// A change of upstreams crosses into each place a few times, and is known to all at once.
-// Each of three routers that read the store told each of 585 others, four of five of them
-// in another place.
+// A change of upstreams must be sent into each place only a few times, and reach all routers at
+// once. Each of three routers that read the store sent it to each of 585 others, four of five
+// of them in another place.
 func TestChangeCrossesIntoEachPlaceAFewTimes(t *testing.T) {
 	const routers, places = 60, 5
 	f := newMultiPlaceFleet(t, routers, places)
@@ -78,8 +78,8 @@
 	assert.LessOrEqual(t, crossed, relaysPerPlace*(places-1))
 }
 
-// A new table is read by the relays of each place from elsewhere, and by all others from
-// them. Each of 585 routers read it, with all entries, from one of three.
+// A new table must be fetched from other places by the relays only, and by all other routers
+// from these. Each of 585 routers fetched it, with all entries, from one of three.
 func TestTableIsFetchedWithinThePlace(t *testing.T) {
 	const routers, places = 60, 5
 	f := newMultiPlaceFleet(t, routers, places)
@@ -98,9 +98,9 @@
 	assert.Positive(t, crossed)
 }
 
-// A list is as of its first page, and may hold later entries. Two relays of a place that knew
-// such a list took each other for ahead, read from each other four times a second, and never
-// from the routers of other places that knew all changes since.
+// A listing is as of its first page, and may contain later entries. Two relays of a place that
+// had such a listing each took the other's content for newer, fetched from each other four times
+// a second, and never from routers of other places that knew all changes since.
 func TestLaterEntriesOfAListingCauseNoFetch(t *testing.T) {
 	f := newMultiPlaceFleet(t, 60, 5)
 	f.runReadingStore(6 * time.Second)
@@ -115,7 +115,7 @@
 		fetch(id, from)
 	}
 	f.runReadingStore(2 * time.Second)
-	assert.Zero(t, reads, "all know the same")
+	assert.Zero(t, reads, "all have the same content")
 	f.learnUpTo(f.watching()[0], 45)
 	for range 40 {
 		f.runReadingStore(100 * time.Millisecond)
@@ -123,8 +123,8 @@
 	assert.Zero(t, f.countBehind(45))
 }
 
-// A router that hears from another place that it is behind leaves that to its relays for a
-// while, and reads from there only then.
+// A router that learns from another place that its content is old leaves the fetch to its relays
+// for a while, and fetches from there only then.
 func TestChangesElsewhereAreLeftToTheRelays(t *testing.T) {
 	f := newMultiPlaceFleet(t, 60, 5)
 	f.runReadingStore(6 * time.Second)
@@ -151,8 +151,8 @@
 	assert.Equal(t, 1, reads)
 }
 
-// Where the relays of a place are gone and nobody has noticed yet, its routers read the
-// table from elsewhere.
+// While the failure of a place's relays is not detected yet, its routers fetch the table from
+// elsewhere.
 func TestTableIsFetchedWithoutRelays(t *testing.T) {
 	f := newMultiPlaceFleet(t, 60, 5)
 	f.runReadingStore(6 * time.Second)
@@ -169,23 +169,23 @@
 	assert.Zero(t, f.countBehind(13))
 }
 
-// A scheduler that has just started and has no table says nothing. It said that the service
-// had no upstream, and callers were refused while all engines stood idle.
+// A scheduler that has just started and has no table must not reply. It replied that the service
+// had no upstream, and callers were refused while all engines were idle.
 func TestSchedulerWithoutATableDoesNotReply(t *testing.T) {
 	f := newMultiPlaceFleet(t, 30, 5)
 	f.runReadingStore(6 * time.Second)
 	scheduler := f.scheduler()
-	set := f.nodes[scheduler].settings
-	set.Inc = 2
-	f.nodes[scheduler] = New(set, f.now)
+	settings := f.nodes[scheduler].settings
+	settings.Inc = 2
+	f.nodes[scheduler] = New(settings, f.now)
 	other := f.other()
 	f.arrive(other, 1, engines, "a", 500)
 	f.run(100 * time.Millisecond)
 	f.placed(other, 1)
 }
 
-// A read of the whole content takes longer than the pause between two reads. Routers that
-// started again asked anew every 0.3 s while the answer was on its way, and the relays served
+// A fetch of the whole content takes longer than the pause between two fetches. Restarted
+// routers sent another one every 0.3 s while the answer was on its way, and the relays served
 // each of them several times.
 func TestContentFetchesDoNotOverlap(t *testing.T) {
 	f := newMultiPlaceFleet(t, 30, 5)
@@ -207,10 +207,10 @@
 	n.Step(Receive{Datagram: &wire.Datagram{From: f.order[0], Inc: 1, Work: &wire.Work{Revision: 9}}}, f.now)
 	assert.Equal(t, 1, reads(contentFetchTimeout-TickInterval))
 	n.Step(FetchContentEnded{}, f.now)
-	assert.Equal(t, 1, reads(contentFetchPause+TickInterval), "it brought nothing")
+	assert.Equal(t, 1, reads(contentFetchPause+TickInterval), "the first fetch brought nothing")
 }
 
-// Routers that start together before the first table read it within their place too.
+// Routers that start together before the first table also fetch it within their place.
 func TestFirstTableIsFetchedWithinThePlace(t *testing.T) {
 	const routers, places = 60, 5
 	f := newMultiPlaceFleet(t, routers, places)
--- a/internal/dispatch/store_test.go
+++ b/internal/dispatch/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// see lets every router that watches read the store every so often.
+// runReadingStore runs the fleet for a duration; the routers that watch read the store each second.
 func (f *fleet) runReadingStore(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		for _, id := range f.order {
@@ -38,7 +38,7 @@
 	assert.Len(t, f.watching(), watcherCount)
 	small := newFleet(t, watcherCount, 2)
 	small.runReadingStore(5 * time.Second)
-	assert.Len(t, small.watching(), watcherCount, "in a small fleet all do")
+	assert.Len(t, small.watching(), watcherCount, "in a small fleet all watch")
 }
 
 func TestDeadWatchersAreReplaced(t *testing.T) {
@@ -59,11 +59,11 @@
 	assert.Less(t, n, 15)
 }
 
-// When no watcher can read the store, everyone looks for itself.
+// If no watcher can read the store, every router reads it itself.
 func TestAllRoutersReadTheStoreWithoutReadings(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	f.runReadingStore(10 * time.Second)
-	f.run(15 * time.Second) // nobody reads it
+	f.run(15 * time.Second) // no router reads it
 	assert.Len(t, f.watching(), 20)
 }
 
@@ -77,10 +77,10 @@
 	d := &wire.StoreDelta{From: 9, To: 12, Removed: []string{"e0"}}
 	require.Contains(t, outs(d), ApplyDelta{From: a, Delta: d})
 	old := &wire.StoreDelta{From: 3, To: 9}
-	assert.NotContains(t, outs(old), ApplyDelta{From: a, Delta: old}, "nothing new")
+	assert.NotContains(t, outs(old), ApplyDelta{From: a, Delta: old}, "it has nothing new")
 	gap := &wire.StoreDelta{From: 30, To: 31}
 	assert.NotContains(t, outs(gap), ApplyDelta{From: a, Delta: gap}, "changes between are missing")
-	assert.Equal(t, uint64(31), f.nodes[b].newerContent[a].revision, "it is fetched whole")
+	assert.Equal(t, uint64(31), f.nodes[b].newerContent[a].revision, "the whole content is fetched")
 	withTable := &wire.StoreDelta{From: 9, To: 40, Table: true}
 	assert.NotContains(t, outs(withTable), ApplyDelta{From: a, Delta: withTable})
 	assert.Equal(t, uint64(40), f.nodes[b].newerContent[a].revision)
@@ -98,9 +98,9 @@
 	assert.Len(t, told, 3)
 }
 
-// A router that is cut off from its peers still reaches the store: it must look for
-// itself well before the bounds on leaving upstreams and new tables, 2 s with 8
-// routers and 3 s with 60. It took 4 to 7 s before.
+// A router that is cut off from its peers still reaches the store. It must read the store itself
+// well before the bounds on leaving upstreams and new tables, which are 2 s with 8 routers and
+// 3 s with 60; it used to take 4 to 7 s.
 func TestIsolatedRouterReadsTheStoreItself(t *testing.T) {
 	for routers, bound := range map[int]time.Duration{8: 1700 * time.Millisecond, 60: 2600 * time.Millisecond} {
 		f := newFleet(t, routers, 2)
@@ -121,21 +121,20 @@
 	}
 }
 
-// An old reading that goes round does not look young: only a reading that was not
-// heard of before counts.
+// A reading that is passed on among routers must not seem younger than it is: only a reading
+// that was not received before counts.
 func TestForwardedReadingKeepsItsAge(t *testing.T) {
 	f := newFleet(t, 8, 2)
 	f.runReadingStore(10 * time.Second)
 	for range 50 {
-		f.run(100 * time.Millisecond) // nobody reads the store, all tell each other
+		f.run(100 * time.Millisecond) // no router reads the store, but all send heartbeats
 	}
 	for _, id := range f.order {
 		assert.GreaterOrEqual(t, f.now.Sub(f.nodes[id].store.at), 4*time.Second)
 	}
 }
 
-// Routers that the store turns away are not chosen to watch, until they are tried
-// again.
+// Routers that cannot reach the store are not chosen as watchers until they are tried again.
 func TestWatchersWithoutStoreAccessAreReplaced(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	f.runReadingStore(10 * time.Second)
@@ -169,8 +168,8 @@
 	assert.Len(t, f.watching(), watcherCount)
 }
 
-// What is missing after an outage may have lapsed in it. Routers that did not watch
-// hear of the outage with the reading that ended it.
+// Entries that are missing after an outage may have expired during it. Routers that did not watch
+// must learn of the outage together with the reading that ended it.
 func TestStoreRecoveryIsAnnounced(t *testing.T) {
 	f := newFleet(t, 8, 2)
 	f.runReadingStore(5 * time.Second)
@@ -197,12 +196,12 @@
 			}
 		}
 		assert.GreaterOrEqual(t, back, 0)
-		assert.Greater(t, apply, back, "the changes come after")
+		assert.Greater(t, apply, back, "the changes come after the recovery")
 	}
 }
 
-// A router that started after the store had come back from a copy listed an older table than
-// its peers hold, as of the same revision, and never read theirs.
+// A router that started after the store was restored from a copy listed an older table than its
+// peers had as of the same revision, and never fetched theirs.
 func TestNewerTableOfAPeerIsFetchedAtTheSameRevision(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	newer, id := f.order[0], f.order[1]
@@ -219,5 +218,5 @@
 	f.onFetch = func(id, from wire.NodeID) { read[id] = from }
 	f.run(time.Second)
 	assert.Equal(t, newer, read[id])
-	assert.NotContains(t, read, newer, "it has the newest")
+	assert.NotContains(t, read, newer, "it has the newest table")
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -12,10 +12,10 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Load pattern: one organisation has had three times its share when the scheduler's router
-// starts again, and takes the role as soon as it is heard. It knows the window, the engines
-// and what they keep within a few milliseconds; before, it knew what was booked from then
-// on, and placed for the flood as for one that has had nothing.
+// Load pattern: one organisation has used three times its share when the scheduler's router
+// restarts, and takes the role again with its first message. It must know the window, the engines
+// and their prefix caches within a few milliseconds. It used to know only the usage recorded from
+// then on, and placed for the flood as for an organisation that had used nothing.
 func TestRestartedSchedulerTakesOverTheWindow(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	p := serviceID(engines)
@@ -41,10 +41,10 @@
 	assert.InDelta(t, total(&next.pools[p].meter.at(flood, f.now).got), total(&got.meter.at(flood, f.now).got), 1)
 	assert.Equal(t, 3000, cachedTokensOf(got.upstreams[u.id].cache, []wire.PromptPart{part}))
 	f.run(2 * bookedEvery)
-	assert.InDelta(t, 2_000_000, total(&got.meter.at(flood, f.now).got), 5000, "what was told with the snapshot is not told again")
+	assert.InDelta(t, 2_000_000, total(&got.meter.at(flood, f.now).got), 5000, "what came with the snapshot is not replicated again")
 }
 
-// What a scheduler told with a snapshot it does not tell again with what it books.
+// Usage that a scheduler has sent with a snapshot must not be replicated again.
 func TestUsageInASnapshotIsNotReplicatedAgain(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	p := serviceID(engines)
@@ -67,7 +67,8 @@
 	assert.InDelta(t, 9000, total(&f.nodes[heir].pools[p].meter.at(7, f.now).got), 1)
 }
 
-// An heir that does not answer is passed over for the other one, and not asked for ever.
+// A member of the group that does not answer is passed over for the next one, and the number of
+// fetches is bounded.
 func TestSnapshotIsRequestedFromEachGroupMemberInTurn(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	p := serviceID(engines)
@@ -92,7 +93,7 @@
 	assert.Empty(t, ask(2*int(snapshotFetchInterval/TickInterval)))
 }
 
-// A peer's figures that are none, and windows that are too short or too long, do no harm.
+// Invalid values of a peer, and windows that are too short or too long, do no harm.
 func TestInvalidSnapshotValuesAreIgnored(t *testing.T) {
 	m := newMeter(1000)
 	nan := float32(math.NaN())
