--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// BenchmarkDecide is one decision and its end, with 600 requests at engines in three places,
-// of 58 routers.
+// BenchmarkDecide measures one decision and the end of a run, with 600 requests of 58 routers at
+// engines in three places.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{60, 600, 6000, 12000} {
 		b.Run(fmt.Sprint(n, " engines"), func(b *testing.B) { benchmarkDecide(b, n) })
--- a/internal/dispatch/cold_schedule_test.go
+++ b/internal/dispatch/cold_schedule_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldSimRuns is how many schedules a run of the tests plays; COLD_SCHEDULES in the
-// environment asks for more, COLD_FROM for another first seed.
+// coldSimRuns is how many random schedules the tests run by default. The environment variable
+// COLD_SCHEDULES sets another number, COLD_FROM another first seed.
 const coldSimRuns = 18
 
 func intFromEnv(t *testing.T, name string, otherwise int) int {
--- a/internal/dispatch/cold_simulation_test.go
+++ b/internal/dispatch/cold_simulation_test.go
@@ -12,56 +12,56 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// Drawn schedules of faults while upstreams are cold: routers are killed and start again,
-// single ones and whole places are cut off, from each other or from the store too; the
-// scheduler goes first in half of the cases. Upstreams turn cold in one of three ways, and
-// callers ask for some forty requests a second at each.
+// Random schedules of faults while upstreams are cold: routers are killed and restarted, single
+// routers and whole places are cut off from each other, or from the store as well; in half of the
+// cases the fault hits the scheduler. Upstreams turn cold by one of the causes of coldCause, and
+// callers send some forty requests a second for each.
 //
-// What must hold is the operators' bound: in any second a cold upstream gets at most
+// The operators' limit must hold: in any second a cold upstream gets at most
 // rate x overage + slack requests, from all routers together.
 
 const (
-	coldSimRouters      = 9  // each tells each other one
-	coldSimRoutersLarge = 15 // they tell those that schedule, and hear these; one in six schedules
+	coldSimRouters      = 9  // a full mesh of heartbeats
+	coldSimRoutersLarge = 15 // heartbeats go to scheduler groups; one in six schedules has this size
 	coldSimEngines      = 6
 	coldSimDuration     = 7 * time.Second
 	coldSimColdAt       = 2500 * time.Millisecond // when upstreams turn cold
 	coldSimColdFor      = 3 * time.Second
-	coldSimDownFor      = 2 * time.Second // of those that start again
+	coldSimDownFor      = 2 * time.Second // of upstreams that restart
 )
 
 var coldSimPlaces = []string{"p", "q", "r"}
 
-// coldCause is how upstreams of the first place turn cold.
+// coldCause says how upstreams of the first place turn cold.
 type coldCause int
 
 const (
-	causePlaceReturned coldCause = iota // the place was evacuated and is taken back; entries are written later
-	causeRestart                        // they crash and start again under their IDs, with new entries
-	causeSilentRestart                  // the same, but they are silent meanwhile
-	causeReplaced                       // others have taken their places, under new IDs
+	causePlaceReturned coldCause = iota // the place was evacuated and is returned; entries are written later
+	causeRestart                        // they crash and restart under their IDs, with new entries
+	causeSilentRestart                  // the same, but instead of refusing connections they are silent meanwhile
+	causeReplaced                       // they are replaced by others, under new IDs
 	coldCauses
 )
 
-// drawn is one schedule.
+// coldSimulation runs one random schedule.
 type coldSimulation struct {
 	*fleet
 	rnd           *rand.Rand
 	cause         coldCause
 	began         time.Time
-	storeCut      map[wire.NodeID]bool      // cut off from the store too
-	group         map[wire.NodeID]int       // routers of different groups do not hear each other
-	restartAt     map[wire.NodeID]time.Time // of those that are down
+	storeCut      map[wire.NodeID]bool      // routers that cannot reach the store
+	group         map[wire.NodeID]int       // routers of different groups cannot reach each other
+	restartAt     map[wire.NodeID]time.Time // of routers that are down
 	inc           wire.Incarnation
 	no            uint64
 	contents      []storeContent
-	knownContents map[wire.NodeID]int // how many of the news a router knows
+	knownContents map[wire.NodeID]int // how many of the contents a router knows
 	sends         []simulatedSend
-	failing       []simulatedSend            // in order of time
+	failing       []simulatedSend            // sorted by time
 	arrived       map[string][]simulatedSend // at cold upstreams
 }
 
-// published is a content of the store, from a time on.
+// storeContent is the content of the store from a time on.
 type storeContent struct {
 	at        time.Time
 	list      []routing.Instance
@@ -104,7 +104,7 @@
 	return d
 }
 
-// planContents lays down what the store holds and when.
+// planContents plans the contents of the store and their times.
 func (d *coldSimulation) planContents() {
 	warm := d.engines("e", 100, 0)
 	closed := []routing.Evacuation{{Place: "p", Revision: 11}}
@@ -121,7 +121,7 @@
 	}
 }
 
-// engines lists the engines; those of the first place have names and births of their own.
+// engines returns the engines; those of the first place have the given name and birth.
 func (d *coldSimulation) engines(name string, born int64, cold time.Duration) []routing.Instance {
 	list := spreadOverPlaces(instances(coldSimEngines), coldSimPlaces...)
 	for i := range list {
@@ -147,7 +147,7 @@
 	d.got[id] = map[uint64]Output{}
 }
 
-// learn brings a router up to what the store holds, by itself or by a peer.
+// learn gives a router the store's current content, read by itself or by a peer.
 func (d *coldSimulation) learn(id wire.NodeID) {
 	known := 0
 	for known < len(d.contents) && !d.now.Before(d.contents[known].at) {
@@ -162,7 +162,7 @@
 	d.nodes[id].Step(StoreRead{}, d.now)
 }
 
-// hears reports whether a router, or one that it hears, reaches the store.
+// reachesStore reports whether a router, or one that it can reach, reaches the store.
 func (d *coldSimulation) reachesStore(id wire.NodeID) bool {
 	for _, other := range d.order {
 		if !d.cut[other] && !d.storeCut[other] && d.group[other] == d.group[id] {
@@ -172,10 +172,10 @@
 	return false
 }
 
-// fault draws one fault.
+// injectFault injects a random fault.
 func (d *coldSimulation) injectFault() {
 	switch d.rnd.IntN(5) {
-	case 0: // a router is killed, and starts again
+	case 0: // a router is killed, and restarts
 		d.kill(d.victim())
 	case 1: // single routers are cut off from everything but callers and upstreams
 		for range 1 + d.rnd.IntN(3) {
@@ -183,15 +183,15 @@
 			d.group[id] = 1000 + d.rnd.IntN(1000)
 			d.storeCut[id] = true
 		}
-	case 2: // a place is cut off, with the store or without
-		place, blind := d.rnd.IntN(3), d.rnd.IntN(2) == 0
+	case 2: // a place is cut off, with or without the store
+		place, storeCut := d.rnd.IntN(3), d.rnd.IntN(2) == 0
 		for i, id := range d.order {
 			if i%3 == place {
 				d.group[id] = 1 + place
-				d.storeCut[id] = blind
+				d.storeCut[id] = storeCut
 			}
 		}
-	case 3: // all cuts heal
+	case 3: // all cuts end
 		clear(d.group)
 		clear(d.storeCut)
 	case 4: // several are killed at once
@@ -219,7 +219,7 @@
 	return d.order[d.rnd.IntN(len(d.order))]
 }
 
-// step moves the world on by a tick: news, starts, requests, sends.
+// step advances the simulation by a tick: store contents, restarts, requests, sends.
 func (d *coldSimulation) step(perTick float64) {
 	for _, id := range d.order {
 		if at, down := d.restartAt[id]; down && !d.now.Before(at) {
@@ -242,7 +242,7 @@
 	d.endFailed()
 }
 
-// runTick is a tick of those that run.
+// runTick advances the running routers by a tick.
 func (d *coldSimulation) runTick() {
 	d.now = d.now.Add(TickInterval)
 	for _, id := range d.order {
@@ -261,7 +261,7 @@
 	d.arrive(id, d.no, engines, "a", 100)
 }
 
-// collect takes the placements, and lets requests arrive after a while.
+// collect collects the placements, and sends requests after a random delay.
 func (d *coldSimulation) collect() {
 	for _, id := range d.order {
 		got := d.got[id]
@@ -282,7 +282,7 @@
 	}
 }
 
-// send is what internal/request/forward and the upstream do with a placement.
+// send acts on a placement like internal/request/forward and the upstream.
 func (d *coldSimulation) send(s simulatedSend) {
 	if d.cut[s.by] {
 		return
@@ -319,8 +319,8 @@
 	n.Step(End{ID: s.place.ID, Event: wire.NoteDone}, d.now)
 }
 
-// failsAfter is how long an upstream that is down leaves a router waiting: it refuses
-// connections at once, or is silent until the connection is given up.
+// failsAfter returns how long a router waits for an upstream that is down: the upstream refuses
+// connections at once, or is silent until the router gives the connection up.
 func (d *coldSimulation) failsAfter() time.Duration {
 	if d.cause == causeSilentRestart {
 		return 400 * time.Millisecond
@@ -343,7 +343,7 @@
 	}
 }
 
-// play runs a schedule and returns what a cold upstream got in its worst second.
+// simulate runs a schedule and returns the requests of the busiest second of a cold upstream.
 func (d *coldSimulation) simulate(faults int) []simulatedSend {
 	var at []time.Time
 	for range faults {
@@ -361,7 +361,7 @@
 	return d.worst()
 }
 
-// worst is the second in which a cold upstream got most.
+// worst returns the requests of the second in which a cold upstream got the most.
 func (d *coldSimulation) worst() (most []simulatedSend) {
 	for _, list := range d.arrived {
 		from := 0
@@ -377,7 +377,7 @@
 	return most
 }
 
-// describe says who sent the requests, and who had placed them as what.
+// describe says which routers sent the requests, and how they were placed by whom.
 func (d *coldSimulation) describe(sends []simulatedSend) string {
 	counts := map[string]int{}
 	for _, s := range sends {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -81,10 +81,10 @@
 	f.placed(id, 1)
 	f.arrive(id, 2, engines, "a", 3000)
 	f.run(2 * TickInterval)
-	f.placed(id, 2) // at once: the silent one is passed over
+	f.placed(id, 2) // at once, since the silent scheduler is passed over
 	f.cut[dead] = false
 	f.run(5 * time.Second)
-	assert.Equal(t, dead, f.nodes[id].schedulerOf(serviceID(engines), f.now), "heard again, it is the scheduler again")
+	assert.Equal(t, dead, f.nodes[id].schedulerOf(serviceID(engines), f.now), "with its next message it is the scheduler again")
 }
 
 func TestRepeatedPlacementRequestCountsOnce(t *testing.T) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Two requests at a time, so that the sound upstream is not always the better one.
+// Two requests at a time, so that the healthy upstream is not always the better one.
 func TestFailingUpstreamIsEjectedAndRetried(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -153,12 +153,12 @@
 	assert.LessOrEqual(t, failed, 12, "but seldom")
 }
 
-// Routers state their use every 200 ms; an engine that has read everything meanwhile
-// has no backlog. Load pattern: many short prompts at engines that read them at once.
+// Routers state their loads every 200 ms; an engine that has prefilled all prompts since then has
+// no backlog. Load pattern: many short prompts for engines that prefill them at once.
 func TestPrefilledPromptsAreNoBacklog(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	s, id := f.scheduler(), f.other()
-	f.run(heartbeatInterval - 3*TickInterval) // the requests run when regular messages are sent
+	f.run(heartbeatInterval - 3*TickInterval) // the requests are running when heartbeats are sent
 	for no := uint64(1); no <= 5; no++ {
 		f.arrive(id, no, engines, "a", 2000)
 		f.placed(id, no)
@@ -173,7 +173,7 @@
 	assert.Equal(t, 5, p.order[0].running())
 }
 
-// What a scheduler that has ended had placed is stated to the next one.
+// The placements of a former scheduler are stated to the next one.
 func TestRunsOfAFormerSchedulerAreStated(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	s, id := f.scheduler(), f.other()
@@ -207,7 +207,7 @@
 	c.add(3, 40, false, start)
 	c.fit(0)
 	assert.Equal(t, 40, readyTokensOf(c, []wire.PromptPart{{Part: 1, Tokens: 40}, {Part: 2, Tokens: 40}}))
-	assert.Zero(t, readyTokensOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}), "not read yet")
+	assert.Zero(t, readyTokensOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}), "not prefilled yet")
 	assert.Equal(t, 40, cachedTokensOf(c, []wire.PromptPart{{Part: 3, Tokens: 40}}))
 	c.fit(80)
 	assert.Zero(t, readyTokensOf(c, []wire.PromptPart{{Part: 1, Tokens: 40}}), "running requests need the memory")
@@ -237,8 +237,8 @@
 	assert.True(t, fetched)
 }
 
-// Prompts of running requests are among the kept parts: counted twice, a busy
-// engine seemed to keep nothing, and parts were read again elsewhere.
+// Prompts of running requests are cached parts themselves. When they were counted twice, a busy
+// engine seemed to have nothing cached, and parts were prefilled again elsewhere.
 func TestRunningPromptsAreNotCountedTwice(t *testing.T) {
 	u := newUpstream(routing.Instance{ID: "e"}, &routing.Engine{Slots: 64, MemoryTokens: 200_000})
 	shared := wire.PromptPart{Part: 1, Tokens: 6000}
@@ -251,9 +251,8 @@
 	assert.Equal(t, 6000, cachedTokensOf(u.cache, []wire.PromptPart{shared}))
 }
 
-// Every upstream of a plain service fails almost
-// half of its requests, so all rest at times; refusing everything meanwhile serves
-// nobody.
+// Every upstream of a plain service fails almost half of its requests, so that all are ejected at
+// times. Refusing all requests during that time would help nobody.
 func TestEjectedUpstreamIsTriedIfAllAreEjected(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
@@ -270,11 +269,11 @@
 	f.placed(id, 2)
 	f.nodes[id].pools[serviceID(counter)].order[1].ejection = rest{}
 	f.arrive(id, 3, counter, "a", 0)
-	assert.Equal(t, f.nodes[id].pools[serviceID(counter)].order[1].inst.ID, f.placed(id, 3).Instance.ID, "those that do not rest go first")
+	assert.Equal(t, f.nodes[id].pools[serviceID(counter)].order[1].inst.ID, f.placed(id, 3).Instance.ID, "upstreams that are not ejected go first")
 }
 
-// In a large fleet routers hear of each other's use of a plain service too late to
-// choose alone.
+// In a large fleet the routers learn of each other's use of a plain service too late to place
+// requests by themselves.
 func TestLargeFleetPlacesPlainWorkAtOneRouter(t *testing.T) {
 	f := newFleet(t, meshMaxRouters+4, 2)
 	by := map[wire.NodeID]bool{}
@@ -294,8 +293,8 @@
 	}
 }
 
-// One of two plain upstreams turns three times slower than its service, which answers
-// in 15 ms: it gets the smaller part.
+// One of two plain upstreams becomes three times slower than its service, which answers in 15 ms.
+// It must get the smaller part of the requests.
 func TestSlowPlainUpstreamGetsLess(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -18,24 +18,23 @@
 	counter = "counter"
 )
 
-// fleet is a few nodes with a network between them that can lose everything to and
-// from some.
+// fleet is a set of nodes with a network between them, which can cut nodes off.
 type fleet struct {
 	t      *testing.T
 	now    time.Time
 	nodes  map[wire.NodeID]*Node
 	order  []wire.NodeID
 	cut    map[wire.NodeID]bool
-	got    map[wire.NodeID]map[uint64]Output // Place or Refuse
+	got    map[wire.NodeID]map[uint64]Output // Placement or Refuse
 	events []Event
-	sends  map[wire.NodeID]int // datagrams, when they are counted
-	lose   func() bool         // whether a datagram is lost; nil loses none
+	sends  map[wire.NodeID]int // datagrams sent by each node, if they are counted
+	lose   func() bool         // whether a datagram is lost; if nil, none are
 
-	partitioned func(a, b wire.NodeID) bool // whether two routers are cut from each other; may be nil
+	partitioned func(a, b wire.NodeID) bool // whether two routers cannot reach each other; may be nil
 
-	onApply func(id wire.NodeID, d *wire.StoreDelta) // a peer's news of the store; may be nil
-	onFetch func(id, from wire.NodeID)               // a read of a peer's content; may be nil
-	onSend  func(from wire.NodeID, s Send)           // a datagram; may be nil
+	onApply func(id wire.NodeID, d *wire.StoreDelta) // a router applies a peer's changes; may be nil
+	onFetch func(id, from wire.NodeID)               // a router fetches a peer's content; may be nil
+	onSend  func(from wire.NodeID, s Send)           // a router sends a datagram; may be nil
 }
 
 func table(t *testing.T, tokensPerSecond float64) *routing.Table {
@@ -58,7 +57,7 @@
 		routing.Instance{ID: "c1", Service: counter, Address: "10.0.1.1:1", Place: "q"})
 }
 
-// wholeCatalogue is what a node knows of the store's content.
+// wholeCatalogue returns all that a node knows of the store's content.
 func wholeCatalogue(n *Node) Catalogue {
 	c := n.catalogue
 	for _, p := range n.pools {
@@ -83,7 +82,7 @@
 	return f
 }
 
-// deliver carries datagrams until none is left.
+// deliver delivers datagrams until none is left.
 func (f *fleet) deliver() {
 	for moved := true; moved; {
 		moved = false
@@ -130,7 +129,7 @@
 	}
 }
 
-// transferSnapshot carries a snapshot between peers, as it is encoded.
+// transferSnapshot transfers a snapshot between peers in its encoded form.
 func (f *fleet) transferSnapshot(to, from wire.NodeID) {
 	if f.cut[to] || f.cut[from] || f.nodes[from] == nil {
 		return
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -11,8 +11,8 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// newRegionFleet has engines in place p of region north and q of region south, in turn, and
-// one in a place whose region nobody knows.
+// newRegionFleet returns a fleet whose engines are in place p of region north and place q of region
+// south in turn, and one in a place of unknown region.
 func newRegionFleet(t *testing.T) *fleet {
 	f := newFleet(t, 3, 7)
 	list := spreadOverPlaces(instances(7), "p", "q")
@@ -42,7 +42,7 @@
 		if no%4 == 0 {
 			f.nodes[id].Step(Again{ID: no + 1, Event: wire.NoteFailed}, f.now)
 			f.deliver()
-			require.Equal(t, "q", f.placed(id, no+1).Instance.Place, "nor does a repeat leave")
+			require.Equal(t, "q", f.placed(id, no+1).Instance.Place, "nor does a retry leave")
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// The scheduler may be of another release, or lie: its answer is checked.
+// The scheduler may be of another release, or send a wrong reply, so the reply is checked.
 func TestPlacementReplyOutsideTheRegionsIsRejected(t *testing.T) {
 	f := newRegionFleet(t)
 	id, s := f.other(), f.scheduler()
@@ -96,5 +96,5 @@
 	assert.Equal(t, north, all.And(north))
 	assert.Equal(t, north, north.And(all))
 	assert.Equal(t, north, both.And(north))
-	assert.Equal(t, routing.Regions{}, north.And(routing.Regions{"south"}), "nowhere, which is not everywhere")
+	assert.Equal(t, routing.Regions{}, north.And(routing.Regions{"south"}), "no region is allowed, rather than every region")
 }
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// list replaces the instances that every router knows.
+// list gives every router a new list of instances, with births set by change.
 func (f *fleet) list(change func(i int, born *int64)) (gone []UpstreamGone) {
 	for _, id := range f.order {
 		list := instances(2)
@@ -30,8 +30,8 @@
 	return gone
 }
 
-// An engine that crashed behind a cut and started again under its ID holds and knows
-// nothing: neither what it kept, nor how busy, slow or failing it was, is believed of it.
+// An engine that crashed while it was cut off and restarted under its ID has nothing cached, and
+// the load, slowness and failures of its former start no longer apply.
 func TestRestartedUpstreamIsTreatedAsNew(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.list(func(_ int, born *int64) { *born = 100 })
@@ -63,7 +63,7 @@
 	assert.Zero(t, cachedTokensOf(u.cache, parts), "a report on the former start")
 }
 
-// An upstream whose entry is removed may still serve: nothing is said to have ended.
+// An upstream whose entry is removed may still serve requests: it is not reported as ended.
 func TestRemovedUpstreamHasNotRestarted(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	n := f.nodes[f.order[0]]
--- a/internal/dispatch/scale_bench_test.go
+++ b/internal/dispatch/scale_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// What one router of a large fleet does for itself: 585 routers in five places before 5,820
-// engines and 180 plain upstreams, no requests.
+// The work that one router of a large fleet does without requests: 585 routers in five places,
+// with 5,820 engines and 180 plain upstreams.
 
 const (
 	scaleRouters = 585
@@ -32,7 +32,7 @@
 	return wire.Update{ID: wire.NodeID(fmt.Sprintf("10.1.%d.%d:1", i/250, i%250)), Inc: 1, Place: fmt.Sprint("p", i%5), Power: 192}
 }
 
-// scaleNode is a router that knows the whole fleet.
+// scaleNode returns a router that knows the whole fleet.
 func scaleNode(t testing.TB) (*Node, time.Time) {
 	n := New(Settings{ID: scaleUpdate(0).ID, Inc: 1, Place: "p0", Power: 800, Retry: DefaultRetryRules}, start)
 	now := start
@@ -48,7 +48,7 @@
 	return n, now
 }
 
-// greet lets a router hear of all others, from each.
+// receiveFromAll gives a router a datagram of each other router.
 func receiveFromAll(n *Node, now time.Time) {
 	for i := 1; i < scaleRouters; i++ {
 		u := scaleUpdate(i)
@@ -68,7 +68,7 @@
 	return tab
 }
 
-// BenchmarkScaleIdleSecond is a second without requests: 100 ticks.
+// BenchmarkScaleIdleSecond measures a second without requests: 100 ticks.
 func BenchmarkScaleIdleSecond(b *testing.B) {
 	n, now := scaleNode(b)
 	b.ReportAllocs()
@@ -81,8 +81,7 @@
 	}
 }
 
-// BenchmarkScaleHeartbeat is what a router that schedules does for each regular message
-// of another one.
+// BenchmarkScaleHeartbeat measures how a scheduler handles one heartbeat of another router.
 func BenchmarkScaleHeartbeat(b *testing.B) {
 	n, now := scaleNode(b)
 	b.ReportAllocs()
@@ -93,8 +92,8 @@
 	}
 }
 
-// BenchmarkScaleStart is a router that hears of 584 others, each by a datagram of its own,
-// with a tick after every tenth.
+// BenchmarkScaleStart measures a router that receives a datagram of each of 584 others, with a
+// tick after every tenth.
 func BenchmarkScaleStart(b *testing.B) {
 	b.ReportAllocs()
 	tab := scaleTable(b)
@@ -115,7 +114,7 @@
 	}
 }
 
-// BenchmarkScaleFirstCatalogue is a router that takes its first table, with all entries.
+// BenchmarkScaleFirstCatalogue measures a router that applies its first table, with all entries.
 func BenchmarkScaleFirstCatalogue(b *testing.B) {
 	b.ReportAllocs()
 	tab, list := scaleTable(b), scaleInstances()
--- a/internal/dispatch/unknown_fleet_test.go
+++ b/internal/dispatch/unknown_fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// Load pattern: forty routers start anew at once, know nothing of each other, and have a
-// request each for ten engines with nothing to read. All forty went to the same engine.
+// Load pattern: forty routers start at once, know nothing of each other, and have a request each
+// for ten engines with nothing to prefill. All forty went to the same engine.
 func TestRoutersWithoutFleetSpreadOverEngines(t *testing.T) {
 	got := map[string]int{}
 	for i := range 40 {
@@ -34,7 +34,7 @@
 	assert.LessOrEqual(t, most, 12)
 }
 
-// The fleet's scheduler chooses as before: by cost alone.
+// The fleet's scheduler chooses by cost alone.
 func TestSchedulerChoosesByCostAlone(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
@@ -43,14 +43,14 @@
 	assert.Equal(t, p.order[0].inst.ID, f.placed(f.scheduler(), 1).Instance.ID)
 }
 
-// Load pattern: 195 routers lose power, and the seeds come back last. A router that has
-// heard nobody asks no engine for all that it keeps.
+// Load pattern: 195 routers lose power, and the seeds come back last. A router that knows no other
+// one must not read any engine's prefix cache.
 func TestRouterWithoutFleetSchedulesNoEngines(t *testing.T) {
 	n := New(Settings{ID: "10.1.0.9:1", Inc: 2, Place: "p", Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: DefaultRetryRules}, start)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(4), Revision: 5, AsOf: 9}, start)
 	assert.Empty(t, n.ScheduledEngines(start))
 	require.Len(t, n.ScheduledEngines(start.Add(loneRouterTimeout)), 4, "it is the whole fleet")
 	n.Step(Receive{Datagram: &wire.Datagram{From: "10.1.0.8:1", Inc: 1}}, start)
-	n.members.Leave() // so that the other one schedules
+	n.members.Leave() // so that the other router is the scheduler
 	assert.Empty(t, n.ScheduledEngines(start))
 }
