--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -11,16 +11,16 @@
 // milliseconds. Waits at engines are kept within it for all routes: requests that wait for a
 // route with a longer target make the others wait too.
 func strictestTargetMS(t *routing.Table, service string) float64 {
-	least := 0.0
+	lowest := 0.0
 	for _, r := range t.Routes {
 		for _, part := range r.Split {
 			ms := float64(r.Target.Milliseconds())
-			if part.Service == service && part.Weight > 0 && ms > 0 && (least == 0 || ms < least) {
-				least = ms
+			if part.Service == service && part.Weight > 0 && ms > 0 && (lowest == 0 || ms < lowest) {
+				lowest = ms
 			}
 		}
 	}
-	return least
+	return lowest
 }
 
 // applyCatalogue applies newer content of the platform's store.
--- a/internal/dispatch/cold.go
+++ b/internal/dispatch/cold.go
@@ -88,10 +88,10 @@
 	c.nextAt = from.Add(gap)
 }
 
-// admits reports whether another placement keeps to at most so many in any second.
-func (c *coldState) admits(most int, now time.Time) bool {
+// admits reports whether another placement keeps to the limit of placements in any second.
+func (c *coldState) admits(limit int, now time.Time) bool {
 	c.dropOld(now)
-	return len(c.placed) < most && !now.Before(c.nextAt)
+	return len(c.placed) < limit && !now.Before(c.nextAt)
 }
 
 // dropOld drops the placements before the window.
@@ -144,13 +144,13 @@
 
 // timeUntilWarm returns the time until some upstream is no longer cold.
 func (p *pool) timeUntilWarm(now time.Time) time.Duration {
-	least := p.cold.For
+	shortest := p.cold.For
 	for _, u := range p.order {
 		if until, _ := u.coldUntil(); !u.closed() {
-			least = min(least, max(0, until.Sub(now)))
+			shortest = min(shortest, max(0, until.Sub(now)))
 		}
 	}
-	return least
+	return shortest
 }
 
 // coldLimit returns how many requests per second this router may place at a cold upstream.
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// coldRate and coldRules are typical settings: at most 19.7 requests in any second.
+// coldRate and coldRules together allow at most 19.7 requests in any second.
 const coldRate = 9.8
 
 var coldRules = ColdRules{Overage: 1.5, Slack: 5}
--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -176,12 +176,12 @@
 // one router in each heartbeatIntervalPerRouter. The announcers are spread evenly over the
 // round, so that each router receives one of them every few hundred milliseconds.
 func (n *Node) announceInTurn(now time.Time) {
-	turn := now.UnixNano() / int64(heartbeatIntervalPerRouter)
+	slot := now.UnixNano() / int64(heartbeatIntervalPerRouter)
 	last := n.heartbeats.lastSlot
-	if turn <= last {
+	if slot <= last {
 		return
 	}
-	n.heartbeats.lastSlot = turn
+	n.heartbeats.lastSlot = slot
 	all := n.members.Live(true)
 	groupMembers := n.groupMembers(now)
 	announcers := n.announcers(groupMembers, now)
@@ -189,7 +189,7 @@
 	if i < 0 {
 		return
 	}
-	for t := max(last, turn-maxRoundCatchUp) + 1; t <= turn; t++ {
+	for t := max(last, slot-maxRoundCatchUp) + 1; t <= slot; t++ {
 		id := all[(t+int64(i*len(all)/len(announcers)))%int64(len(all))]
 		if id == n.settings.ID {
 			continue
--- a/internal/dispatch/heartbeat_test.go
+++ b/internal/dispatch/heartbeat_test.go
@@ -32,11 +32,11 @@
 		announcers := n.announcers(n.groupMembers(f.now), f.now)
 		assert.LessOrEqual(t, len(announcers), 3*schedulerGroupSize)
 		for id, rate := range f.sendRates(5 * time.Second) {
-			most := 14.0 // ten heartbeats to scheduler groups, a probe and answers to probes
+			maxRate := 14.0 // ten heartbeats to scheduler groups, a probe and answers to probes
 			if contains(announcers, id) {
-				most += float64(time.Second / heartbeatIntervalPerRouter)
+				maxRate += float64(time.Second / heartbeatIntervalPerRouter)
 			}
-			assert.LessOrEqual(t, rate, most, "%d routers, %s", routers, id)
+			assert.LessOrEqual(t, rate, maxRate, "%d routers, %s", routers, id)
 		}
 	}
 }
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -102,8 +102,8 @@
 // pattern: an overloaded router took its scheduler for silent; the router that it asked
 // instead placed 428 requests of its flood in a second, of which few were started.
 func (n *Node) decideFor(from wire.NodeID, p *pool, a *wire.WorkAsk, now time.Time) (v verdict, reported bool) {
-	inPlace := p.engine != nil && n.schedulerOf(p.id, now) != n.settings.ID
-	if over := p.meter.over(a.Org, now); inPlace && over >= 1 && p.mayRefuse(a) {
+	standIn := p.engine != nil && n.schedulerOf(p.id, now) != n.settings.ID
+	if over := p.meter.over(a.Org, now); standIn && over >= 1 && p.mayRefuse(a) {
 		n.countUnasked(p, a, false, now)
 		return verdict{why: ReasonShare, after: minComeBack, over: hundredths(over)}, true
 	}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -200,14 +200,14 @@
 	r.up.fit(now)
 }
 
-// forget ends a run. whole says that its prompt was prefilled.
-func (p *pool) forget(k runKey, whole bool, now time.Time) {
+// forget ends a run. prefilled says that its prompt was prefilled.
+func (p *pool) forget(k runKey, prefilled bool, now time.Time) {
 	r := p.runs[k]
 	if r == nil {
 		return
 	}
 	delete(p.runs, k)
-	r.up.endRun(r, whole, now)
+	r.up.endRun(r, prefilled, now)
 }
 
 // dropRouters drops all placements and stated loads of routers that are gone.
--- a/internal/dispatch/quorum.go
+++ b/internal/dispatch/quorum.go
@@ -47,20 +47,20 @@
 }
 
 func (n *Node) hearsMajority(now time.Time) bool {
-	heard := n.members.HeardSince(now.Add(-n.quorumWindow()))
-	heard.Places[n.settings.Place] = true
+	contacts := n.members.HeardSince(now.Add(-n.quorumWindow()))
+	contacts.Places[n.settings.Place] = true
 	for place := range n.upstreamPlaces {
-		if _, known := heard.Places[place]; !known {
-			heard.Places[place] = false
+		if _, known := contacts.Places[place]; !known {
+			contacts.Places[place] = false
 		}
 	}
 	places := 0
-	for _, isHeard := range heard.Places {
-		if isHeard {
+	for _, inContact := range contacts.Places {
+		if inContact {
 			places++
 		}
 	}
-	return 2*(heard.Routers+1) > n.fleetSize() && 2*places >= len(heard.Places)
+	return 2*(contacts.Routers+1) > n.fleetSize() && 2*places >= len(contacts.Places)
 }
 
 // mayMissColdStart reports whether this router may not know that an upstream has turned cold:
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -125,8 +125,8 @@
 	if !n.isLarge() {
 		return 0
 	}
-	turn := slices.Index(n.ranked(storeService, now), n.settings.ID) - watcherCount + 1
-	return time.Duration(max(0, turn)) * listingSpacing
+	position := slices.Index(n.ranked(storeService, now), n.settings.ID) - watcherCount + 1
+	return time.Duration(max(0, position)) * listingSpacing
 }
 
 // firstReadDelayOf returns how long a router waits before its first reading of the store, if
--- a/internal/dispatch/upstream.go
+++ b/internal/dispatch/upstream.go
@@ -223,8 +223,8 @@
 	u.queue.Drop(r.entry, now)
 }
 
-// endRun removes a run. whole says that its prompt was prefilled.
-func (u *upstream) endRun(r *run, whole bool, now time.Time) {
+// endRun removes a run. prefilled says that its prompt was prefilled.
+func (u *upstream) endRun(r *run, prefilled bool, now time.Time) {
 	u.markRead(r, now)
 	delete(u.runs, r.key)
 	u.outputTokens -= r.outputTokens
@@ -232,10 +232,10 @@
 		n.runs--
 		n.tokens -= r.tokens
 	})
-	if whole {
+	if prefilled {
 		u.conns.put(r.key.node, now)
 	}
-	if whole || r.firstEvent || u.cache == nil {
+	if prefilled || r.firstEvent || u.cache == nil {
 		return
 	}
 	for _, p := range r.parts {
