--- a/internal/dispatch/late.go
+++ b/internal/dispatch/late.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		for _, u := range p.inUse() {
-			u.decayStatedLoad(p.learner.Model(), min(elapsed, PauseThreshold), now)
+			u.decayStatedLoad(p.learner.Model(), min(elapsed, MaxTickGap), now)
 		}
 	}
 }
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -24,9 +24,9 @@
 const (
 	// TickInterval is how often the driver calls Tick.
 	TickInterval = 10 * time.Millisecond
-	// PauseThreshold is the gap between two ticks from which the node assumes that the
+	// MaxTickGap is the gap between two ticks above which the node assumes that the
 	// process was suspended.
-	PauseThreshold = time.Second
+	MaxTickGap = time.Second
 
 	// overloadTickGap is the gap between two ticks above which this router counts as
 	// overloaded.
@@ -272,7 +272,7 @@
 // load is outdated then, so it lets others decide until it has received their messages.
 func (n *Node) detectPause(now time.Time) {
 	gap := now.Sub(n.lastTick)
-	if gap <= PauseThreshold {
+	if gap <= MaxTickGap {
 		return
 	}
 	n.lastTick = now
