--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -24,16 +24,16 @@
 // Bounds of a key's life.
 const (
 	// Window is how long after minting a key may be used.
-	Window = 10 * time.Minute
+	KeyWindow = 10 * time.Minute
 	// Skew is how far callers' and routers' clocks may differ.
-	Skew = 5 * time.Second
-	// GroupSize is the largest number of witnesses of a key.
-	GroupSize = 7
+	MaxClockSkew = 5 * time.Second
+	// MaxGroupSize is the largest number of witnesses of a key.
+	MaxGroupSize = 7
 	// MaxKeys bounds a witness's memory; beyond it, it refuses.
 	MaxKeys = 200000
-	// AskFor is how long votes are awaited, AskEvery between resends.
-	AskFor   = 600 * time.Millisecond
-	AskEvery = 100 * time.Millisecond
+	// VoteTimeout is how long votes are awaited, VoteRetryInterval between resends.
+	VoteTimeout       = 600 * time.Millisecond
+	VoteRetryInterval = 100 * time.Millisecond
 )
 
 // ErrKey is an idempotency key that cannot be dated.
@@ -71,8 +71,8 @@
 		all[i] = ranked{id, d.Sum64()}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].h > all[j].h })
-	out := make([]wire.NodeID, 0, GroupSize)
-	for i := 0; i < len(all) && i < GroupSize; i++ {
+	out := make([]wire.NodeID, 0, MaxGroupSize)
+	for i := 0; i < len(all) && i < MaxGroupSize; i++ {
 		out = append(out, all[i].id)
 	}
 	return out
@@ -87,10 +87,10 @@
 	return g/2 + 2
 }
 
-// ruledOut is how many witnesses without another holder prove that no other
+// minToRuleOut is how many witnesses without another holder prove that no other
 // attempt can have had a quorum, also when the two groups differ in one member
 // (g of 5 or more) or in none (g below 5).
-func ruledOut(g int) int {
+func minToRuleOut(g int) int {
 	if g < 5 {
 		return g - Quorum(g) + 1
 	}
@@ -115,7 +115,7 @@
 }
 
 // Hear answers a claim. A release is not answered.
-func (w *Witness) Hear(c *wire.Claim, now time.Time) (wire.Vote, bool) {
+func (w *Witness) Handle(c *wire.Claim, now time.Time) (wire.Vote, bool) {
 	h := w.keys[c.Key]
 	mine := h != nil && h.attempt == c.Attempt
 	if c.Release {
@@ -137,7 +137,7 @@
 	}
 	v.Verdict = w.judge(c, now)
 	if v.Verdict == wire.VerdictGranted && h == nil {
-		w.keys[c.Key] = &holding{attempt: c.Attempt, until: time.UnixMilli(c.Minted).Add(Window + 2*Skew)}
+		w.keys[c.Key] = &holding{attempt: c.Attempt, until: time.UnixMilli(c.Minted).Add(KeyWindow + 2*MaxClockSkew)}
 	}
 	return v, true
 }
@@ -145,11 +145,11 @@
 // judge decides on a key that nobody else holds here.
 func (w *Witness) judge(c *wire.Claim, now time.Time) wire.Verdict {
 	minted := time.UnixMilli(c.Minted)
-	if now.Sub(minted) > Window || minted.Sub(now) > Skew {
+	if now.Sub(minted) > KeyWindow || minted.Sub(now) > MaxClockSkew {
 		return wire.VerdictExpired
 	}
-	if !minted.After(w.started.Add(Skew)) || len(w.keys) >= MaxKeys {
-		return wire.VerdictCannot
+	if !minted.After(w.started.Add(MaxClockSkew)) || len(w.keys) >= MaxKeys {
+		return wire.VerdictForgotten
 	}
 	return wire.VerdictGranted
 }
@@ -171,14 +171,14 @@
 
 // The results of asking the witnesses.
 const (
-	Pending Result = iota
-	Held           // a quorum consented: the attempt alone may run
-	NotHeld        // no quorum, and no other attempt can have run
-	InDoubt        // no quorum, and another attempt may have run or be running
+	Pending       Result = iota
+	Held                 // a quorum consented: the attempt alone may run
+	NotHeld              // no quorum, and no other attempt can have run
+	Indeterminate        // no quorum, and another attempt may have run or be running
 )
 
 // Ask collects the votes for one attempt. The control goroutine owns it.
-type Ask struct {
+type Proposal struct {
 	Key      Key
 	Attempt  wire.Attempt
 	group    []wire.NodeID
@@ -187,16 +187,16 @@
 	lastSent time.Time
 }
 
-// NewAsk starts collecting votes.
-func NewAsk(key Key, attempt wire.Attempt, roster []wire.NodeID, now time.Time) *Ask {
-	return &Ask{Key: key, Attempt: attempt, group: Group(key.Sum, roster), votes: map[wire.NodeID]wire.Vote{}, started: now}
+// NewProposal starts collecting votes.
+func NewProposal(key Key, attempt wire.Attempt, roster []wire.NodeID, now time.Time) *Proposal {
+	return &Proposal{Key: key, Attempt: attempt, group: Group(key.Sum, roster), votes: map[wire.NodeID]wire.Vote{}, started: now}
 }
 
 // Group returns the witnesses asked.
-func (a *Ask) Group() []wire.NodeID { return a.group }
+func (a *Proposal) Group() []wire.NodeID { return a.group }
 
 // Vote takes a witness's answer.
-func (a *Ask) Vote(from wire.NodeID, v wire.Vote) {
+func (a *Proposal) Vote(from wire.NodeID, v wire.Vote) {
 	if v.Attempt != a.Attempt || !bytes.Equal(v.Key[:], a.Key.Sum[:]) {
 		return
 	}
@@ -208,8 +208,8 @@
 }
 
 // Due returns the witnesses to ask now, again or for the first time.
-func (a *Ask) Due(now time.Time) []wire.NodeID {
-	if !a.lastSent.IsZero() && now.Sub(a.lastSent) < AskEvery {
+func (a *Proposal) Due(now time.Time) []wire.NodeID {
+	if !a.lastSent.IsZero() && now.Sub(a.lastSent) < VoteRetryInterval {
 		return nil
 	}
 	a.lastSent = now
@@ -223,12 +223,12 @@
 }
 
 // Claim is the message for the witnesses.
-func (a *Ask) Claim() wire.Claim {
+func (a *Proposal) Claim() wire.Claim {
 	return wire.Claim{Key: a.Key.Sum, Minted: a.Key.Minted.UnixMilli(), Attempt: a.Attempt}
 }
 
 // Result decides what the votes so far prove.
-func (a *Ask) Result(now time.Time) Result {
+func (a *Proposal) Result(now time.Time) Result {
 	granted := 0
 	for _, v := range a.votes {
 		if v.Verdict == wire.VerdictGranted {
@@ -240,17 +240,17 @@
 		return Held
 	}
 	undecided := g - len(a.votes)
-	if undecided > 0 && now.Sub(a.started) < AskFor {
+	if undecided > 0 && now.Sub(a.started) < VoteTimeout {
 		return Pending
 	}
-	if granted >= ruledOut(g) {
+	if granted >= minToRuleOut(g) {
 		return NotHeld
 	}
-	return InDoubt
+	return Indeterminate
 }
 
 // Why returns the verdict that kept the attempt from its quorum, for the answer.
-func (a *Ask) Why() (verdict wire.Verdict, done bool) {
+func (a *Proposal) Refusal() (verdict wire.Verdict, done bool) {
 	for _, v := range a.votes {
 		if v.Verdict == wire.VerdictTaken {
 			return v.Verdict, v.Done
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -22,7 +22,7 @@
 	return &wire.Claim{Key: [16]byte{1}, Minted: minted.UnixMilli(), Attempt: attempt(n)}
 }
 
-func TestKeyMustBeDatable(t *testing.T) {
+func TestKeyMustBeUUIDVersion7(t *testing.T) {
 	_, err := ParseKey("o", "a", uuid.NewString())
 	assert.ErrorContains(t, err, "UUID version 7")
 	_, err = ParseKey("o", "a", "order-17")
@@ -47,52 +47,52 @@
 		minted, now time.Duration
 		want        wire.Verdict
 	}{
-		{-time.Second, time.Second, wire.VerdictCannot},
-		{Skew, time.Minute, wire.VerdictCannot},
-		{Skew + time.Millisecond, time.Minute, wire.VerdictGranted},
-		{time.Minute, time.Minute + Window + time.Millisecond, wire.VerdictExpired},
-		{2 * time.Minute, 2*time.Minute - Skew - time.Millisecond, wire.VerdictExpired},
+		{-time.Second, time.Second, wire.VerdictForgotten},
+		{MaxClockSkew, time.Minute, wire.VerdictForgotten},
+		{MaxClockSkew + time.Millisecond, time.Minute, wire.VerdictGranted},
+		{time.Minute, time.Minute + KeyWindow + time.Millisecond, wire.VerdictExpired},
+		{2 * time.Minute, 2*time.Minute - MaxClockSkew - time.Millisecond, wire.VerdictExpired},
 	} {
 		c2 := claimOf(1, t0.Add(c.minted))
 		c2.Key[1] = byte(c.minted / time.Second)
-		v, ok := w.Hear(c2, t0.Add(c.now))
+		v, ok := w.Handle(c2, t0.Add(c.now))
 		require.True(t, ok)
 		assert.Equal(t, c.want, v.Verdict, "%+v", c)
 	}
 }
 
-func TestWitnessForgetsOnlyWhatNobodyWouldAccept(t *testing.T) {
+func TestWitnessForgetsOnlyExpiredKeys(t *testing.T) {
 	w := NewWitness(t0)
 	minted := t0.Add(time.Minute)
-	w.Hear(claimOf(1, minted), minted)
-	w.Tick(minted.Add(Window))
+	w.Handle(claimOf(1, minted), minted)
+	w.Tick(minted.Add(KeyWindow))
 	require.Equal(t, 1, w.Len())
-	w.Tick(minted.Add(Window + 2*Skew + time.Millisecond))
+	w.Tick(minted.Add(KeyWindow + 2*MaxClockSkew + time.Millisecond))
 	require.Zero(t, w.Len())
-	v, _ := w.Hear(claimOf(2, minted), minted.Add(Window+2*Skew+time.Millisecond))
+	v, _ := w.Handle(claimOf(2, minted), minted.Add(KeyWindow+2*MaxClockSkew+time.Millisecond))
 	assert.Equal(t, wire.VerdictExpired, v.Verdict)
 }
 
-func TestReleaseFreesOnlyItsOwn(t *testing.T) {
+func TestReleaseFreesOnlyKeyOfSameAttempt(t *testing.T) {
 	w := NewWitness(t0)
 	now := t0.Add(time.Minute)
-	w.Hear(claimOf(1, now), now)
+	w.Handle(claimOf(1, now), now)
 	other := claimOf(2, now)
 	other.Release = true
-	w.Hear(other, now)
-	v, _ := w.Hear(claimOf(2, now), now)
+	w.Handle(other, now)
+	v, _ := w.Handle(claimOf(2, now), now)
 	assert.Equal(t, wire.VerdictTaken, v.Verdict)
 	own := claimOf(1, now)
 	own.Release = true
-	w.Hear(own, now)
-	v, _ = w.Hear(claimOf(2, now), now)
+	w.Handle(own, now)
+	v, _ = w.Handle(claimOf(2, now), now)
 	assert.Equal(t, wire.VerdictGranted, v.Verdict)
 }
 
 // Two quorums share a witness as long as the groups differ in as many members
 // as the comment on Quorum says; a quorum and a ruling out, in one or none.
 func TestQuorumsIntersect(t *testing.T) {
-	for g := 1; g <= GroupSize; g++ {
+	for g := 1; g <= MaxGroupSize; g++ {
 		differ := 2*Quorum(g) - g - 1
 		assert.Greater(t, 2*Quorum(g), g+differ)
 		assert.GreaterOrEqual(t, differ, 0)
@@ -100,12 +100,12 @@
 		if g >= 5 {
 			d = 1
 		}
-		assert.Greater(t, Quorum(g)+ruledOut(g), g+d, "group of %d", g)
+		assert.Greater(t, Quorum(g)+minToRuleOut(g), g+d, "group of %d", g)
 		assert.LessOrEqual(t, Quorum(g), g)
 	}
 }
 
-func TestGroupsOfNearRostersAreNear(t *testing.T) {
+func TestGroupsOfSimilarRostersDifferInOneWitness(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(8, 40).Draw(rt, "routers")
 		var roster []wire.NodeID
@@ -126,16 +126,16 @@
 	})
 }
 
-func TestSilentWitnessesEndTheAsk(t *testing.T) {
-	a := NewAsk(Key{Sum: [16]byte{1}, Minted: t0}, attempt(1), []wire.NodeID{"a", "b", "c"}, t0)
+func TestProposalTimesOutOnSilentWitnesses(t *testing.T) {
+	a := NewProposal(Key{Sum: [16]byte{1}, Minted: t0}, attempt(1), []wire.NodeID{"a", "b", "c"}, t0)
 	assert.Len(t, a.Due(t0), 3)
-	assert.Empty(t, a.Due(t0.Add(AskEvery/2)))
+	assert.Empty(t, a.Due(t0.Add(VoteRetryInterval/2)))
 	assert.Equal(t, Pending, a.Result(t0))
 	a.Vote("a", wire.Vote{Key: [16]byte{1}, Attempt: attempt(1)})
 	a.Vote("stranger", wire.Vote{Key: [16]byte{1}, Attempt: attempt(1)})
 	a.Vote("b", wire.Vote{Key: [16]byte{1}, Attempt: attempt(2)})
 	assert.Equal(t, Pending, a.Result(t0))
-	assert.Equal(t, InDoubt, a.Result(t0.Add(AskFor)), "one of three rules nothing out")
+	assert.Equal(t, Indeterminate, a.Result(t0.Add(VoteTimeout)), "one of three rules nothing out")
 	a.Vote("b", wire.Vote{Key: [16]byte{1}, Attempt: attempt(1)})
 	assert.Equal(t, Held, a.Result(t0))
 }
--- a/internal/core/crashes.go
+++ b/internal/core/crashes.go
@@ -35,14 +35,14 @@
 
 func (Probe) output() {}
 
-// crashSpan tells one crash of an upstream from the next: nothing here names the starts of
+// crashWindow tells one crash of an upstream from the next: nothing here names the starts of
 // one that starts again. Routers see a crash within milliseconds of each other, and a
 // process is away for longer than the span or ends once in it.
-const crashSpan = 5 * time.Second
+const crashWindow = 5 * time.Second
 
-// crashOf names the crash of an upstream at a time.
-func crashOf(up version.ID, now time.Time) version.ID {
-	return version.IDOf(fmt.Sprint(up, now.UnixNano()/int64(crashSpan)))
+// crashID names the crash of an upstream at a time.
+func crashID(up version.ID, now time.Time) version.ID {
+	return version.IDOf(fmt.Sprint(up, now.UnixNano()/int64(crashWindow)))
 }
 
 // Quarantine returns a copy of what is known of requests, and whether it has changed since
@@ -65,25 +65,25 @@
 	if n.drains[up] != nil {
 		return
 	}
-	if running, isNews := n.crashes.Ended(up, crashOf(up, now), now); isNews {
+	if running, isNews := n.crashes.Ended(up, crashID(up, now), now); isNews {
 		n.event("upstream-ended", uint64(running), fmt.Sprintf("upstream %d refuses connections; value: attempts that it left without an answer", up))
 	}
 }
 
-// headCrashes tells what this router holds, as one number, on pings and acks: every
+// attachCrashChecksum tells what this router holds, as one number, on pings and acks: every
 // router soon hears one from every other.
-func (n *Node) headCrashes(d *wire.Datagram) {
+func (n *Node) attachCrashChecksum(d *wire.Datagram) {
 	if d.Ping == nil && d.Ack == nil {
 		return
 	}
 	if d.Crashes == nil {
-		d.Crashes = &wire.CrashNews{}
+		d.Crashes = &wire.CrashUpdate{}
 	}
-	d.Crashes.Stated, d.Crashes.Sum = true, n.crashes.Sum()
+	d.Crashes.HasChecksum, d.Crashes.Checksum = true, n.crashes.Checksum()
 }
 
-// reportCrashes hands over what has changed, for the log.
-func (n *Node) reportCrashes() {
+// logCrashChanges hands over what has changed, for the log.
+func (n *Node) logCrashChanges() {
 	for _, c := range n.crashes.Changes() {
 		detail := fmt.Sprintf("fingerprint %s, organisation %d, held for %v, seen by %q; value: crashes", c.Content, c.Org, c.Held, c.From)
 		n.event("request-suspected", uint64(c.Crashes), detail)
--- a/internal/core/crashes_test.go
+++ b/internal/core/crashes_test.go
@@ -13,12 +13,12 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-const deadly fingerprint.Fingerprint = 0xdead
+const crashingRequest fingerprint.Fingerprint = 0xdead
 
 // pass carries what one node has for another.
-func pass(t *testing.T, from, to *Node, now time.Time) {
+func deliver(t *testing.T, from, to *Node, now time.Time) {
 	t.Helper()
-	d := sent(from.Ready(now), to.set.ID)
+	d := datagramTo(from.Ready(now), to.set.ID)
 	if d == nil {
 		return
 	}
@@ -31,57 +31,57 @@
 }
 
 // crash ends an upstream under an attempt of a node.
-func crash(n *Node, up version.ID, now time.Time) {
-	n.Step(Broke{Content: deadly, Org: 7, Upstream: up, Began: now}, now)
+func crashUpstream(n *Node, up version.ID, now time.Time) {
+	n.Step(Broke{Content: crashingRequest, Org: 7, Upstream: up, Began: now}, now)
 	n.Step(ConnRefused{Upstream: up}, now)
 }
 
 // Two routers have attempts at the same upstream when it crashes, and see that a moment
 // apart: it is one crash. The same upstream crashes again when it is back.
-func TestCrashesOfAnUpstreamAreToldApart(t *testing.T) {
+func TestRoutersCountOneCrashOfAnUpstreamOnce(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
 	a.Step(Receive{&wire.Datagram{From: b.set.ID, Inc: b.set.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
 	b.Step(Receive{&wire.Datagram{From: a.set.ID, Inc: a.set.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
 	now := t0
-	for i := range quarantine.HoldAfter {
-		assert.Equal(t, i, a.crashes.State(deadly).Crashes)
-		crash(a, 1, now)
-		crash(b, 1, now.Add(20*time.Millisecond))
-		now = now.Add(TickEvery)
+	for i := range quarantine.HoldAfterCrashes {
+		assert.Equal(t, i, a.crashes.State(crashingRequest).Crashes)
+		crashUpstream(a, 1, now)
+		crashUpstream(b, 1, now.Add(20*time.Millisecond))
+		now = now.Add(TickInterval)
 		for _, n := range []*Node{a, b} {
 			n.Tick(now)
 		}
-		pass(t, a, b, now)
-		pass(t, b, a, now)
-		now = now.Add(crashSpan)
+		deliver(t, a, b, now)
+		deliver(t, b, a, now)
+		now = now.Add(crashWindow)
 		a.lastTick, b.lastTick = now, now
 	}
 	for _, n := range []*Node{a, b} {
-		assert.Equal(t, quarantine.HoldAfter, n.crashes.State(deadly).Crashes)
-		assert.Positive(t, n.crashes.State(deadly).Held(now))
+		assert.Equal(t, quarantine.HoldAfterCrashes, n.crashes.State(crashingRequest).Crashes)
+		assert.Positive(t, n.crashes.State(crashingRequest).Held(now))
 		assert.Len(t, n.View(now).Held, 1)
 	}
 }
 
 // A router that starts again hears on the next ping that others hold something.
-func TestPingTellsWhatIsHeld(t *testing.T) {
+func TestRestartedRouterLearnsHeldRequestsFromPing(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
-	for i := range quarantine.HoldAfter {
-		crash(a, version.ID(1+i), t0)
+	for i := range quarantine.HoldAfterCrashes {
+		crashUpstream(a, version.ID(1+i), t0)
 	}
 	a.Ready(t0)
 	b.Step(Receive{&wire.Datagram{From: a.set.ID, Inc: a.set.Inc}}, t0)
 	for seq := range uint32(3) { // a's answer to a ping, b's list, a's list
 		a.Step(Receive{&wire.Datagram{From: b.set.ID, Inc: b.set.Inc, Ping: &wire.Ping{Seq: seq}}}, t0)
-		pass(t, a, b, t0)
-		pass(t, b, a, t0)
+		deliver(t, a, b, t0)
+		deliver(t, b, a, t0)
 	}
-	assert.Positive(t, b.crashes.State(deadly).Held(t0))
+	assert.Positive(t, b.crashes.State(crashingRequest).Held(t0))
 }
 
-func TestUpstreamThatLeavesCrashesNothing(t *testing.T) {
+func TestEndOfDrainingUpstreamIsNoCrash(t *testing.T) {
 	a := newNode("10.0.0.1:1")
-	a.Step(Drain{Upstream: 1, Firm: true}, t0)
-	crash(a, 1, t0)
-	assert.Zero(t, a.crashes.State(deadly).Crashes)
+	a.Step(Drain{Upstream: 1, Persistent: true}, t0)
+	crashUpstream(a, 1, t0)
+	assert.Zero(t, a.crashes.State(crashingRequest).Crashes)
 }
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -47,29 +47,29 @@
 
 // Refusal is a request given up before anything of it was sent.
 type Refusal struct {
-	ID     uint64
-	Reason Reason
-	After  time.Duration // when the caller should come back
+	ID         uint64
+	Reason     Reason
+	RetryAfter time.Duration // when the caller should come back
 }
 
 // Timing of this router's side.
 const (
-	progressEvery = 2 * time.Second  // in a full pool; elsewhere service is told with other news
-	keepAlive     = 2 * time.Second  // while requests wait; well within a grant's lease
-	creditAlive   = 4 * time.Second  // while standing credits are in use
-	creditIdle    = 10 * time.Second // unused credits are given back
-	quietDelay    = 3 * time.Second  // of news from a pool in which nothing waits
-	fullEvery     = 45 * time.Second
-	arrivalDelay  = 100 * time.Millisecond // of a request that comes to a full pool
-	ackDelay      = time.Second            // of a report that only acknowledges grants
-	resendAfter   = 1300 * time.Millisecond
-	quietResend   = 7 * time.Second
-	silentFor     = 2 * time.Second
-	quietSilent   = 9 * time.Second
-	minComeBack   = time.Second
-	maxComeBack   = 2 * time.Minute
-	paceHalfLife  = 30 * time.Second // of what the estimate of the pace rests on
-	paceMinStarts = 3                // decayed starts below which there is no estimate
+	progressInterval        = 2 * time.Second  // in a full pool; elsewhere service is told with other news
+	keepAliveInterval       = 2 * time.Second  // while requests wait; well within a grant's lease
+	creditKeepAliveInterval = 4 * time.Second  // while standing credits are in use
+	creditIdleTimeout       = 10 * time.Second // unused credits are given back
+	idleReportDelay         = 3 * time.Second  // of news from a pool in which nothing waits
+	fullReportInterval      = 45 * time.Second
+	arrivalReportDelay      = 100 * time.Millisecond // of a request that comes to a full pool
+	ackReportDelay          = time.Second            // of a report that only acknowledges grants
+	resendInterval          = 1300 * time.Millisecond
+	idleResendInterval      = 7 * time.Second
+	schedulerTimeout        = 2 * time.Second
+	idleSchedulerTimeout    = 9 * time.Second
+	minRetryAfter           = time.Second
+	maxRetryAfter           = 2 * time.Minute
+	paceHalfLife            = 30 * time.Second // of what the estimate of the pace rests on
+	minPaceStarts           = 3                // decayed starts below which there is no estimate
 )
 
 type flight struct {
@@ -84,19 +84,19 @@
 
 // Entry is this router's requests. The control goroutine owns it.
 type Entry struct {
-	ver     *version.Version
-	place   string
-	began   time.Time // of the process: zero of the clock that reports carry
-	flights map[uint64]*flight
-	queues  map[queueKey]*queue
-	byOrg   map[version.ID]int // waiting requests of each organisation
-	pools   map[version.ID]*poolView
-	norm    map[version.ID]uint64
-	told    map[version.ID]uint64 // norm at the last Served
-	drained map[version.ID]bool
-	started []Start
-	refused []Refusal
-	Counts  Counts
+	ver          *version.Version
+	place        string
+	startedAt    time.Time // of the process: zero of the clock that reports carry
+	flights      map[uint64]*flight
+	queues       map[queueKey]*queue
+	waitingByOrg map[version.ID]int // waiting requests of each organisation
+	pools        map[version.ID]*poolState
+	normService  map[version.ID]uint64
+	announced    map[version.ID]uint64 // norm at the last Served
+	drained      map[version.ID]bool
+	started      []Start
+	refused      []Refusal
+	Counts       Counts
 
 	nextDeadline time.Time // no waiting flight's deadline is earlier
 }
@@ -111,15 +111,15 @@
 // New returns an entry without requests, for a router in a place.
 func New(place string, start time.Time) *Entry {
 	return &Entry{
-		place:   place,
-		began:   start,
-		flights: map[uint64]*flight{},
-		queues:  map[queueKey]*queue{},
-		byOrg:   map[version.ID]int{},
-		pools:   map[version.ID]*poolView{},
-		norm:    map[version.ID]uint64{},
-		told:    map[version.ID]uint64{},
-		drained: map[version.ID]bool{},
+		place:        place,
+		startedAt:    start,
+		flights:      map[uint64]*flight{},
+		queues:       map[queueKey]*queue{},
+		waitingByOrg: map[version.ID]int{},
+		pools:        map[version.ID]*poolState{},
+		normService:  map[version.ID]uint64{},
+		announced:    map[version.ID]uint64{},
+		drained:      map[version.ID]bool{},
 	}
 }
 
@@ -135,7 +135,7 @@
 func (e *Entry) SetVersion(v *version.Version) {
 	e.ver = v
 	for _, q := range e.queues {
-		q.pools = e.poolsOf(q.key)
+		q.pools = e.poolsFor(q.key)
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.flights)) {
 		f := e.flights[id]
@@ -145,11 +145,11 @@
 		if e.app(f.Request) == nil {
 			e.refuse(f, ReasonWithdrawn, 0)
 		} else if len(f.queue.pools) == 0 {
-			e.refuse(f, ReasonNoUpstream, minComeBack)
+			e.refuse(f, ReasonNoUpstream, minRetryAfter)
 		}
 	}
 	for _, p := range e.pools {
-		p.dirtyAll()
+		p.requireFull()
 	}
 }
 
@@ -162,7 +162,7 @@
 	return o.Applications[r.App]
 }
 
-func (e *Entry) poolsOf(k queueKey) []version.ID {
+func (e *Entry) poolsFor(k queueKey) []version.ID {
 	o := e.ver.Organisations[k.org]
 	if o == nil {
 		return nil
@@ -176,7 +176,7 @@
 	f := &flight{Request: r, arrived: now}
 	e.flights[r.ID] = f
 	if e.ver == nil {
-		e.refuse(f, ReasonNoVersion, minComeBack)
+		e.refuse(f, ReasonNoVersion, minRetryAfter)
 		return
 	}
 	app := e.app(r)
@@ -185,12 +185,12 @@
 		return
 	}
 	if !now.Before(r.Deadline) {
-		e.refuse(f, ReasonDeadline, minComeBack)
+		e.refuse(f, ReasonDeadline, minRetryAfter)
 		return
 	}
 	q := e.queue(queueKey{r.Org, app.Service})
 	if !e.reachable(r.Org, q) {
-		e.refuse(f, ReasonNoUpstream, minComeBack)
+		e.refuse(f, ReasonNoUpstream, minRetryAfter)
 		return
 	}
 	if e.startOnCredit(f, q, now) {
@@ -216,7 +216,7 @@
 	e.dequeue(f)
 	delete(e.flights, f.ID)
 	e.Counts.Refused++
-	e.refused = append(e.refused, Refusal{ID: f.ID, Reason: why, After: after})
+	e.refused = append(e.refused, Refusal{ID: f.ID, Reason: why, RetryAfter: after})
 }
 
 // Cancel ends a waiting request whose caller went away, and reports whether it
@@ -250,22 +250,22 @@
 	p := e.pool(f.pool)
 	p.release(f.Org, f.upstream, now)
 	if failed {
-		p.sample(wire.Sample{Upstream: f.upstream, Failed: 1})
+		p.addSample(wire.Sample{Upstream: f.upstream, Failed: 1})
 	}
 	f.running = false
 	if !now.Before(f.Deadline) || e.app(f.Request) == nil {
 		f.queue = nil
-		e.refuse(f, ReasonDeadline, minComeBack)
+		e.refuse(f, ReasonDeadline, minRetryAfter)
 		return
 	}
-	e.awaits(f)
-	e.byOrg[f.Org]++
+	e.noteDeadline(f)
+	e.waitingByOrg[f.Org]++
 	if f.Urgent {
 		f.queue.urgent = append([]*flight{f}, f.queue.urgent...)
 	} else {
 		f.queue.normal = append([]*flight{f}, f.queue.normal...)
 	}
-	e.touch(f.queue)
+	e.markChanged(f.queue)
 }
 
 // Progress sets the service a running request has received so far, in units.
@@ -286,9 +286,9 @@
 	if o := e.ver.Organisations[f.Org]; o != nil {
 		share = o.Share
 	}
-	e.norm[f.Org] += uint64(float64(total-f.served) / share)
+	e.normService[f.Org] += uint64(float64(total-f.served) / share)
 	f.served = total
-	e.pool(f.pool).progressed(f.Org)
+	e.pool(f.pool).markProgress(f.Org)
 }
 
 // Finish ends a running request with its final service and what was seen of
@@ -302,7 +302,7 @@
 	p := e.pool(f.pool)
 	p.release(f.Org, f.upstream, now)
 	s.Upstream = f.upstream
-	p.sample(s)
+	p.addSample(s)
 	delete(e.flights, id)
 	e.Counts.Finished++
 }
@@ -335,21 +335,21 @@
 // sorted by organisation.
 func (e *Entry) Served() []wire.LedgerRow {
 	var out []wire.LedgerRow
-	for org, n := range e.norm {
-		if n > e.told[org] {
-			e.told[org] = n
-			out = append(out, wire.LedgerRow{Org: org, Norm: n})
+	for org, n := range e.normService {
+		if n > e.announced[org] {
+			e.announced[org] = n
+			out = append(out, wire.LedgerRow{Org: org, NormService: n})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Org < out[j].Org })
 	return out
 }
 
-// FullPools returns the pools that a scheduler said are full, in ID order.
-func (e *Entry) FullPools() []version.ID {
+// SaturatedPools returns the pools that a scheduler said are full, in ID order.
+func (e *Entry) SaturatedPools() []version.ID {
 	var out []version.ID
 	for _, id := range e.poolIDs() {
-		if e.pools[id].tight && e.ver.Pools[id] != nil {
+		if e.pools[id].saturated && e.ver.Pools[id] != nil {
 			out = append(out, id)
 		}
 	}
--- a/internal/core/entry/entry_test.go
+++ b/internal/core/entry/entry_test.go
@@ -84,8 +84,8 @@
 
 func (f *fixture) grants(list ...wire.Grant) {
 	p := f.pools[f.pool]
-	asked := uint32(p.lastSent.Sub(f.began).Milliseconds())
-	f.Grants(schedulerID, &wire.Grants{Pool: f.pool, Epoch: p.epoch, Seen: p.seq, Asked: asked, List: list}, f.now)
+	asked := uint32(p.lastSent.Sub(f.startedAt).Milliseconds())
+	f.Grants(schedulerID, &wire.Grants{Pool: f.pool, Epoch: p.epoch, ReportSeq: p.seq, ReportSentMS: asked, List: list}, f.now)
 }
 
 func TestGrantStartsTheOldestRequest(t *testing.T) {
@@ -121,7 +121,7 @@
 	assert.Empty(t, starts)
 }
 
-func TestGrantOutsideThePlacesIsNotUsed(t *testing.T) {
+func TestGrantOutsideAllowedPlacesIsNotUsed(t *testing.T) {
 	f := newFixture(t, "a", 2)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u2, N: 1})
 	starts, _ := f.Take()
@@ -129,7 +129,7 @@
 	assert.Equal(t, uint64(1), f.Counts.GrantsReturned)
 }
 
-func TestGrantOfALeavingUpstreamIsNotUsed(t *testing.T) {
+func TestGrantForDrainingUpstreamIsNotUsed(t *testing.T) {
 	f := newFixture(t, "a,b", 2)
 	f.Drain(f.u1, true)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1})
@@ -137,7 +137,7 @@
 	assert.Empty(t, starts)
 }
 
-func TestRouterOutsideThePlacesRunsNothing(t *testing.T) {
+func TestRouterOutsideAllowedPlacesRefuses(t *testing.T) {
 	f := newFixture(t, "b", 1)
 	_, refused := f.Take()
 	require.Len(t, refused, 1)
@@ -151,7 +151,7 @@
 	assert.Len(t, refused, 2)
 }
 
-func TestDeadlineIsAnsweredAtOnce(t *testing.T) {
+func TestRequestIsRefusedAtItsDeadline(t *testing.T) {
 	f := newFixture(t, "a,b", 0)
 	f.arrive(1, time.Second)
 	f.now = f.now.Add(time.Second)
@@ -159,7 +159,7 @@
 	_, refused := f.Take()
 	require.Len(t, refused, 1)
 	assert.Equal(t, ReasonDeadline, refused[0].Reason)
-	assert.Positive(t, refused[0].After)
+	assert.Positive(t, refused[0].RetryAfter)
 }
 
 func TestQueueIsBounded(t *testing.T) {
@@ -170,7 +170,7 @@
 	assert.Equal(t, uint64(4), refused[0].ID)
 }
 
-func TestCanceledRequestFreesItsPlace(t *testing.T) {
+func TestCanceledRequestFreesQueueSlot(t *testing.T) {
 	f := newFixture(t, "a,b", 3)
 	require.True(t, f.Cancel(2))
 	f.arrive(9, time.Minute)
@@ -179,7 +179,7 @@
 	assert.Equal(t, 3, f.Waiting())
 }
 
-func TestHopelessRequestIsRefusedWithAnHonestTime(t *testing.T) {
+func TestRequestThatWouldMissItsDeadlineIsRefused(t *testing.T) {
 	f := newFixture(t, "a,b", 3)
 	for i := range 3 {
 		f.now = f.now.Add(10 * time.Second)
@@ -196,10 +196,10 @@
 	_, refused := f.Take()
 	require.Len(t, refused, 1)
 	assert.Equal(t, ReasonDeadline, refused[0].Reason)
-	assert.Greater(t, refused[0].After, 5*time.Second)
+	assert.Greater(t, refused[0].RetryAfter, 5*time.Second)
 }
 
-func TestReturnedRequestWaitsFirst(t *testing.T) {
+func TestReturnedRequestGoesToHeadOfQueue(t *testing.T) {
 	f := newFixture(t, "a,b", 3)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1})
 	f.Return(1, false, f.now)
@@ -209,7 +209,7 @@
 	assert.Equal(t, []Start{{1, f.u1}, {1, f.u2}}, starts)
 }
 
-func TestCreditStartsWithoutAsking(t *testing.T) {
+func TestCreditStartsRequestAtOnce(t *testing.T) {
 	f := newFixture(t, "a,b", 1)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1}, wire.Grant{No: 2, Upstream: f.u2, N: 1})
 	f.Take()
@@ -218,7 +218,7 @@
 	assert.Equal(t, []Start{{2, f.u2}}, starts)
 }
 
-func TestWakingGivesUpCredits(t *testing.T) {
+func TestPauseDropsCredits(t *testing.T) {
 	f := newFixture(t, "a,b", 1)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1}, wire.Grant{No: 2, Upstream: f.u2, N: 1})
 	f.Take()
@@ -228,40 +228,40 @@
 	assert.Empty(t, starts)
 }
 
-func TestChangedRowsAreToldUntilAnswered(t *testing.T) {
+func TestChangedRowsAreResentUntilAnswered(t *testing.T) {
 	f := newFixture(t, "a,b", 2)
-	f.now = f.now.Add(resendAfter)
+	f.now = f.now.Add(resendInterval)
 	again := f.reports()
 	require.Len(t, again, 1)
 	require.Len(t, again[0].Report.Rows, 1)
 	assert.Equal(t, uint32(2), again[0].Report.Rows[0].Waiting)
 	f.grants()
-	f.now = f.now.Add(keepAlive)
+	f.now = f.now.Add(keepAliveInterval)
 	alive := f.reports()
 	require.Len(t, alive, 1)
 	assert.Empty(t, alive[0].Report.Rows)
 }
 
-func TestServiceIsChargedAsItStreams(t *testing.T) {
+func TestServiceIsChargedWhileStreaming(t *testing.T) {
 	f := newFixture(t, "a,b", 1)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1})
 	f.Progress(1, 40)
 	f.Progress(1, 30) // late and lower: nothing is taken back
-	assert.Equal(t, uint64(4000), f.norm[f.x])
+	assert.Equal(t, uint64(4000), f.normService[f.x])
 	f.Finish(1, 55, wire.Sample{N: 1}, f.now)
-	assert.Equal(t, uint64(5500), f.norm[f.x])
+	assert.Equal(t, uint64(5500), f.normService[f.x])
 	assert.Zero(t, f.Running())
 }
 
 // A request may run for minutes without news; the scheduler forgets a router that
 // is silent for one.
-func TestLongRequestsAreToldAgain(t *testing.T) {
+func TestFullReportsAreRepeatedDuringLongRequests(t *testing.T) {
 	f := newFixture(t, "a,b", 1)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1})
-	f.now = f.now.Add(ackDelay)
+	f.now = f.now.Add(ackReportDelay)
 	f.reports()
 	f.grants()
-	f.now = f.now.Add(fullEvery)
+	f.now = f.now.Add(fullReportInterval)
 	out := f.reports()
 	require.Len(t, out, 1)
 	require.True(t, out[0].Report.Full)
--- a/internal/core/entry/pool.go
+++ b/internal/core/entry/pool.go
@@ -10,69 +10,69 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// poolView is this router's side of one pool: what it holds there, and what the
+// poolState is this router's side of one pool: what it holds there, and what the
 // scheduler has and has not been told.
-type poolView struct {
-	id        version.ID
-	scheduler wire.NodeID
-	epoch     uint32 // of grant numbers; raised when they begin anew
-	acked     uint32
-	seq       uint32
-	seen      uint32 // last report the scheduler answered
-	lastSent  time.Time
-	lastFull  time.Time
-	answered  time.Time // last answer, or the first report without one
-	tight     bool
+type poolState struct {
+	id          version.ID
+	scheduler   wire.NodeID
+	epoch       uint32 // of grant numbers; raised when they begin anew
+	acked       uint32
+	seq         uint32
+	answeredSeq uint32 // last report the scheduler answered
+	lastSent    time.Time
+	lastFull    time.Time
+	answeredAt  time.Time // last answer, or the first report without one
+	saturated   bool
 
-	changed   map[version.ID]uint32 // row changed after this report
-	moved     map[heldKey]uint32    // held count changed after this report
-	progress  map[version.ID]bool
-	lastMoved time.Time
-	held      map[version.ID]map[version.ID]uint32 // organisation, upstream
-	credits   map[version.ID]uint32                // upstream
-	creditsTo time.Time
-	samples   map[version.ID]wire.Sample
-	needFull  bool
-	worked    time.Time // last request started in the pool
-	before    time.Time // the one before it
-	due       time.Time // when news must go out at the latest; zero without news
+	changed       map[version.ID]uint32 // row changed after this report
+	changedHeld   map[heldKey]uint32    // held count changed after this report
+	progress      map[version.ID]bool
+	lastProgress  time.Time
+	held          map[version.ID]map[version.ID]uint32 // organisation, upstream
+	credits       map[version.ID]uint32                // upstream
+	creditsUntil  time.Time
+	samples       map[version.ID]wire.Sample
+	needFull      bool
+	lastStart     time.Time // last request started in the pool
+	previousStart time.Time // the one before it
+	due           time.Time // when news must go out at the latest; zero without news
 }
 
 // heldKey is one cell of what the router holds in a pool.
 type heldKey struct{ org, up version.ID }
 
-func (e *Entry) pool(id version.ID) *poolView {
+func (e *Entry) pool(id version.ID) *poolState {
 	p := e.pools[id]
 	if p == nil {
-		p = &poolView{
-			id:       id,
-			changed:  map[version.ID]uint32{},
-			moved:    map[heldKey]uint32{},
-			progress: map[version.ID]bool{},
-			held:     map[version.ID]map[version.ID]uint32{},
-			credits:  map[version.ID]uint32{},
-			samples:  map[version.ID]wire.Sample{},
+		p = &poolState{
+			id:          id,
+			changed:     map[version.ID]uint32{},
+			changedHeld: map[heldKey]uint32{},
+			progress:    map[version.ID]bool{},
+			held:        map[version.ID]map[version.ID]uint32{},
+			credits:     map[version.ID]uint32{},
+			samples:     map[version.ID]wire.Sample{},
 		}
 		e.pools[id] = p
 	}
 	return p
 }
 
-func (p *poolView) dirty(org version.ID) { p.changed[org] = p.seq }
+func (p *poolState) markRow(org version.ID) { p.changed[org] = p.seq }
 
-func (p *poolView) dirtyAll() { p.needFull = true }
+func (p *poolState) requireFull() { p.needFull = true }
 
-func (p *poolView) progressed(org version.ID) { p.progress[org] = true }
+func (p *poolState) markProgress(org version.ID) { p.progress[org] = true }
 
-func (p *poolView) hold(org, up version.ID) {
+func (p *poolState) hold(org, up version.ID) {
 	if p.held[org] == nil {
 		p.held[org] = map[version.ID]uint32{}
 	}
 	p.held[org][up]++
-	p.move(org, up)
+	p.markHeld(org, up)
 }
 
-func (p *poolView) release(org, up version.ID, now time.Time) {
+func (p *poolState) release(org, up version.ID, now time.Time) {
 	p.held[org][up]--
 	if p.held[org][up] == 0 {
 		delete(p.held[org], up)
@@ -80,21 +80,21 @@
 	if len(p.held[org]) == 0 {
 		delete(p.held, org)
 	}
-	if p.tight {
-		p.tellBy(now)
+	if p.saturated {
+		p.scheduleReport(now)
 	} else {
-		p.tellBy(now.Add(quietDelay))
+		p.scheduleReport(now.Add(idleReportDelay))
 	}
-	p.move(org, up)
+	p.markHeld(org, up)
 }
 
 // move marks one held count changed.
-func (p *poolView) move(org, up version.ID) {
-	p.moved[heldKey{org, up}] = p.seq
-	p.dirty(org)
+func (p *poolState) markHeld(org, up version.ID) {
+	p.changedHeld[heldKey{org, up}] = p.seq
+	p.markRow(org)
 }
 
-func (p *poolView) sample(s wire.Sample) {
+func (p *poolState) addSample(s wire.Sample) {
 	old := p.samples[s.Upstream]
 	if n := old.N + s.N; n > 0 {
 		s.FirstMS = (old.FirstMS*old.N + s.FirstMS*s.N) / n
@@ -105,21 +105,21 @@
 	p.samples[s.Upstream] = s
 }
 
-// tellBy bounds how long the scheduler waits for news.
-func (p *poolView) tellBy(at time.Time) {
+// scheduleReport bounds how long the scheduler waits for news.
+func (p *poolState) scheduleReport(at time.Time) {
 	if p.due.IsZero() || at.Before(p.due) {
 		p.due = at
 	}
 }
 
-func (p *poolView) dropCredits(up version.ID) {
+func (p *poolState) dropCredits(up version.ID) {
 	if p.credits[up] > 0 {
 		delete(p.credits, up)
-		p.move(0, up)
+		p.markHeld(0, up)
 	}
 }
 
-func (p *poolView) dropAllCredits() {
+func (p *poolState) dropAllCredits() {
 	for up := range p.credits {
 		p.dropCredits(up)
 	}
@@ -134,16 +134,16 @@
 	}
 	for _, id := range q.pools {
 		p := e.pools[id]
-		if p == nil || !now.Before(p.creditsTo) {
+		if p == nil || !now.Before(p.creditsUntil) {
 			continue
 		}
 		for _, up := range slices.Sorted(maps.Keys(p.credits)) {
 			if e.mayRun(f, p.id, up) {
-				p.spend(up)
+				p.spendCredit(up)
 				f.queue = q
 				e.start(f, p, up, now)
 				e.Counts.CreditsUsed++
-				p.tellBy(now.Add(quietDelay))
+				p.scheduleReport(now.Add(idleReportDelay))
 				return true
 			}
 		}
@@ -151,12 +151,12 @@
 	return false
 }
 
-func (p *poolView) spend(up version.ID) {
+func (p *poolState) spendCredit(up version.ID) {
 	p.credits[up]--
 	if p.credits[up] == 0 {
 		delete(p.credits, up)
 	}
-	p.move(0, up)
+	p.markHeld(0, up)
 }
 
 // mayRun is the place rule at dispatch, under the newest accepted version: the
@@ -170,11 +170,11 @@
 	return u.Service == app.Service && e.ver.Organisations[f.Org].Allows(u.Place)
 }
 
-func (e *Entry) start(f *flight, p *poolView, up version.ID, now time.Time) {
+func (e *Entry) start(f *flight, p *poolState, up version.ID, now time.Time) {
 	f.running = true
 	f.upstream = up
 	f.pool = p.id
-	p.before, p.worked = p.worked, now
+	p.previousStart, p.lastStart = p.lastStart, now
 	p.hold(f.Org, up)
 	e.Counts.Started++
 	e.started = append(e.started, Start{ID: f.ID, Upstream: up})
@@ -184,55 +184,55 @@
 // followed, repeated, out of order or late are not used.
 func (e *Entry) Grants(from wire.NodeID, g *wire.Grants, now time.Time) {
 	p := e.pools[g.Pool]
-	if p == nil || from != p.scheduler || g.Seen > p.seq || g.Epoch != p.epoch {
+	if p == nil || from != p.scheduler || g.ReportSeq > p.seq || g.Epoch != p.epoch {
 		return
 	}
-	p.answered = now
+	p.answeredAt = now
 	if g.Reset {
-		p.restart()
+		p.restartNumbering()
 		return
 	}
-	p.seen = max(p.seen, g.Seen)
-	p.forgetAnswered()
-	if g.Tight && !p.tight {
-		p.tellBy(now) // whatever was not urgent before is now
+	p.answeredSeq = max(p.answeredSeq, g.ReportSeq)
+	p.dropAnswered()
+	if g.Saturated && !p.saturated {
+		p.scheduleReport(now) // whatever was not urgent before is now
 	}
-	p.tight = g.Tight
-	asked := e.began.Add(time.Duration(g.Asked) * time.Millisecond)
+	p.saturated = g.Saturated
+	asked := e.startedAt.Add(time.Duration(g.ReportSentMS) * time.Millisecond)
 	for _, grant := range g.List {
 		if grant.No != p.acked+1 {
 			continue
 		}
 		p.acked++
-		p.tellBy(now.Add(ackDelay))
+		p.scheduleReport(now.Add(ackReportDelay))
 		e.useGrant(p, grant, now.Sub(asked) >= leaseOf(grant), now)
 	}
-	if g.Tight {
+	if g.Saturated {
 		p.dropAllCredits()
-	} else if to := asked.Add(sched.CreditLease); to.After(p.creditsTo) {
-		p.creditsTo = to
+	} else if to := asked.Add(sched.CreditLease); to.After(p.creditsUntil) {
+		p.creditsUntil = to
 	}
 }
 
 // restart begins the numbering of grants anew: what the scheduler granted before
 // and was not taken is void.
-func (p *poolView) restart() {
+func (p *poolState) restartNumbering() {
 	p.epoch++
 	p.acked = 0
 	p.dropAllCredits()
 	p.needFull = true
 }
 
-// forgetAnswered clears the rows that a report the scheduler saw has carried.
-func (p *poolView) forgetAnswered() {
+// dropAnswered clears the rows that a report the scheduler saw has carried.
+func (p *poolState) dropAnswered() {
 	for org, at := range p.changed {
-		if at < p.seen {
+		if at < p.answeredSeq {
 			delete(p.changed, org)
 		}
 	}
-	for k, at := range p.moved {
-		if at < p.seen {
-			delete(p.moved, k)
+	for k, at := range p.changedHeld {
+		if at < p.answeredSeq {
+			delete(p.changedHeld, k)
 		}
 	}
 }
@@ -245,34 +245,34 @@
 	return sched.Lease
 }
 
-func (e *Entry) useGrant(p *poolView, g wire.Grant, late bool, now time.Time) {
+func (e *Entry) useGrant(p *poolState, g wire.Grant, late bool, now time.Time) {
 	if late {
 		e.Counts.GrantsLate += uint64(g.N)
-		p.dirty(g.Org)
+		p.markRow(g.Org)
 		return
 	}
 	if g.Org == 0 {
 		p.credits[g.Upstream] += g.N
-		p.move(0, g.Upstream)
+		p.markHeld(0, g.Upstream)
 		return
 	}
-	p.dirty(g.Org)
+	p.markRow(g.Org)
 	for range g.N {
-		f := e.pick(p, g)
+		f := e.nextFor(p, g)
 		if f == nil {
 			e.Counts.GrantsReturned++
 			continue
 		}
-		f.queue.mark(now)
+		f.queue.accrue(now)
 		f.queue.starts++
-		e.unqueue(f)
+		e.dequeueStarted(f)
 		e.start(f, p, g.Upstream, now)
 		e.Counts.GrantsUsed++
 	}
 }
 
 // pick returns the organisation's first request that may run at the upstream.
-func (e *Entry) pick(p *poolView, g wire.Grant) *flight {
+func (e *Entry) nextFor(p *poolState, g wire.Grant) *flight {
 	u := e.ver.Upstreams[g.Upstream]
 	if u == nil {
 		return nil
@@ -293,9 +293,9 @@
 		e.expire(now)
 	}
 	for _, p := range e.pools {
-		if len(p.credits) > 0 && (!now.Before(p.creditsTo) || now.Sub(p.worked) > creditIdle) {
+		if len(p.credits) > 0 && (!now.Before(p.creditsUntil) || now.Sub(p.lastStart) > creditIdleTimeout) {
 			p.dropAllCredits()
-			p.tellBy(now.Add(quietDelay))
+			p.scheduleReport(now.Add(idleReportDelay))
 		}
 	}
 }
@@ -305,6 +305,6 @@
 func (e *Entry) Woke() {
 	for _, p := range e.pools {
 		p.dropAllCredits() // a slot granted before the pause may be another's by now
-		p.dirtyAll()
+		p.requireFull()
 	}
 }
--- a/internal/core/entry/report.go
+++ b/internal/core/entry/report.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// oldUnit is the unit of Row.Old.
-const oldUnit = 100 * time.Millisecond
+// ageUnit is the unit of Row.Old.
+const ageUnit = 100 * time.Millisecond
 
 // Outgoing is a report for a pool's scheduler.
 type Outgoing struct {
@@ -24,12 +24,12 @@
 func (e *Entry) Reports(scheduler func(version.ID) wire.NodeID, now time.Time) (out []Outgoing, silent []wire.NodeID) {
 	for _, id := range e.poolIDs() {
 		p := e.pools[id]
-		p.turnTo(scheduler(id), now)
-		if p.silent(now, e.waitsIn(p)) {
+		p.followScheduler(scheduler(id), now)
+		if p.silent(now, e.hasWaiting(p)) {
 			silent = append(silent, p.scheduler)
-			p.answered = now
+			p.answeredAt = now
 		}
-		if r, due := e.report(p, now); due {
+		if r, due := e.buildReport(p, now); due {
 			out = append(out, Outgoing{To: p.scheduler, Report: r})
 		}
 	}
@@ -38,28 +38,28 @@
 
 func (e *Entry) poolIDs() []version.ID { return slices.Sorted(maps.Keys(e.pools)) }
 
-// turnTo follows a new scheduler: everything is told anew, and what the former
+// followScheduler follows a new scheduler: everything is told anew, and what the former
 // one granted but was not used is void.
-func (p *poolView) turnTo(id wire.NodeID, now time.Time) {
+func (p *poolState) followScheduler(id wire.NodeID, now time.Time) {
 	if id == p.scheduler {
 		return
 	}
 	p.scheduler = id
-	p.answered = now
-	p.restart()
+	p.answeredAt = now
+	p.restartNumbering()
 }
 
 // silent reports a scheduler that has left reports unanswered.
-func (p *poolView) silent(now time.Time, waits bool) bool {
-	return p.seq > p.seen && now.Sub(p.answered) > pick(waits, silentFor, quietSilent)
+func (p *poolState) silent(now time.Time, waits bool) bool {
+	return p.seq > p.answeredSeq && now.Sub(p.answeredAt) > delayFor(waits, schedulerTimeout, idleSchedulerTimeout)
 }
 
-func (p *poolView) busy() bool {
+func (p *poolState) busy() bool {
 	return len(p.held) > 0 || len(p.credits) > 0 || len(p.changed) > 0
 }
 
 // unsent reports rows changed since the last report went out.
-func (p *poolView) unsent() bool {
+func (p *poolState) unsent() bool {
 	for _, at := range p.changed {
 		if at == p.seq {
 			return true
@@ -69,48 +69,48 @@
 }
 
 // why says what makes a report due.
-type why struct {
-	moved bool // service received in a full pool
-	full  bool // everything is told anew
-	due   bool
+type reportReasons struct {
+	progressDue bool // service received in a full pool
+	full        bool // everything is told anew
+	due         bool
 }
 
-func (e *Entry) reasons(p *poolView, now time.Time) why {
+func (e *Entry) reasons(p *poolState, now time.Time) reportReasons {
 	since := now.Sub(p.lastSent)
-	waits := e.waitsIn(p)
-	hurried := p.tight || waits
-	w := why{
-		moved: p.tight && len(p.progress) > 0 && now.Sub(p.lastMoved) >= progressEvery,
-		full:  p.needFull || (p.busy() && now.Sub(p.lastFull) >= fullEvery),
-	}
-	again := p.seq > p.seen && len(p.changed) > 0 && since >= pick(hurried, resendAfter, quietResend)
-	alive := (waits && since >= keepAlive) || (len(p.credits) > 0 && since >= creditAlive)
+	waits := e.hasWaiting(p)
+	hurried := p.saturated || waits
+	w := reportReasons{
+		progressDue: p.saturated && len(p.progress) > 0 && now.Sub(p.lastProgress) >= progressInterval,
+		full:        p.needFull || (p.busy() && now.Sub(p.lastFull) >= fullReportInterval),
+	}
+	again := p.seq > p.answeredSeq && len(p.changed) > 0 && since >= delayFor(hurried, resendInterval, idleResendInterval)
+	alive := (waits && since >= keepAliveInterval) || (len(p.credits) > 0 && since >= creditKeepAliveInterval)
 	asked := !p.due.IsZero() && !now.Before(p.due)
-	late := p.unsent() && since >= pick(hurried, ackDelay, quietDelay)
-	w.due = w.moved || w.full || again || alive || asked || late
+	late := p.unsent() && since >= delayFor(hurried, ackReportDelay, idleReportDelay)
+	w.due = w.progressDue || w.full || again || alive || asked || late
 	return w
 }
 
 // report returns the next report for a pool, if one is due.
-func (e *Entry) report(p *poolView, now time.Time) (wire.Report, bool) {
+func (e *Entry) buildReport(p *poolState, now time.Time) (wire.Report, bool) {
 	w := e.reasons(p, now)
 	if !w.due {
 		return wire.Report{}, false
 	}
-	if p.seq == p.seen {
-		p.answered = now
+	if p.seq == p.answeredSeq {
+		p.answeredAt = now
 	}
 	orgs := e.rowsFor(p, w)
-	p.sent(w, now)
+	p.markSent(w, now)
 	r := wire.Report{
-		Pool:  p.id,
-		Seq:   p.seq,
-		Asked: uint32(now.Sub(e.began).Milliseconds()),
-		Epoch: p.epoch,
-		Acked: p.acked,
-		Full:  w.full,
-		Want:  now.Sub(p.before) < creditIdle,
-		Seen:  p.takeSamples(),
+		Pool:         p.id,
+		Seq:          p.seq,
+		SentMS:       uint32(now.Sub(e.startedAt).Milliseconds()),
+		Epoch:        p.epoch,
+		Acked:        p.acked,
+		Full:         w.full,
+		WantsCredits: now.Sub(p.previousStart) < creditIdleTimeout,
+		Samples:      p.takeSamples(),
 	}
 	for _, org := range orgs {
 		r.Rows = append(r.Rows, e.row(p, org, now))
@@ -119,7 +119,7 @@
 }
 
 // sent notes that a report goes out now.
-func (p *poolView) sent(w why, now time.Time) {
+func (p *poolState) markSent(w reportReasons, now time.Time) {
 	p.seq++
 	p.lastSent = now
 	p.due = time.Time{}
@@ -127,21 +127,21 @@
 		p.needFull = false
 		p.lastFull = now
 	}
-	if w.moved || w.full {
-		p.lastMoved = now
+	if w.progressDue || w.full {
+		p.lastProgress = now
 		p.progress = map[version.ID]bool{}
 	}
 }
 
 // pick returns the delay for a pool with a backlog, or for a quiet one.
-func pick(busy bool, yes, no time.Duration) time.Duration {
+func delayFor(busy bool, yes, no time.Duration) time.Duration {
 	if busy {
 		return yes
 	}
 	return no
 }
 
-func (e *Entry) waitsIn(p *poolView) bool {
+func (e *Entry) hasWaiting(p *poolState) bool {
 	for _, q := range e.queues {
 		if q.len() > 0 && slices.Contains(q.pools, p.id) {
 			return true
@@ -152,7 +152,7 @@
 
 // rowsFor lists the organisations whose rows the report carries. A full report
 // stays to be repeated until answered, like any changed row.
-func (e *Entry) rowsFor(p *poolView, w why) []version.ID {
+func (e *Entry) rowsFor(p *poolState, w reportReasons) []version.ID {
 	set := map[version.ID]bool{}
 	if w.full {
 		for org := range p.held {
@@ -166,12 +166,12 @@
 		if len(p.credits) > 0 {
 			p.changed[0] = p.seq
 		}
-		p.moveAll()
+		p.markAllHeld()
 	}
 	for org := range p.changed {
 		set[org] = true
 	}
-	if w.moved {
+	if w.progressDue {
 		for org := range p.progress {
 			set[org] = true
 		}
@@ -179,9 +179,9 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-func (e *Entry) row(p *poolView, org version.ID, now time.Time) wire.Row {
-	r := wire.Row{Org: org, Norm: e.norm[org]}
-	r.Held = p.heldMoved(org)
+func (e *Entry) row(p *poolState, org version.ID, now time.Time) wire.Row {
+	r := wire.Row{Org: org, NormService: e.normService[org]}
+	r.Held = p.heldChanges(org)
 	if org == 0 {
 		return r
 	}
@@ -192,28 +192,28 @@
 		r.Waiting += uint32(q.len())
 		r.Urgent += uint32(len(q.urgent))
 		if f := q.head(); f != nil {
-			r.Old = max(r.Old, uint32(now.Sub(f.arrived)/oldUnit))
+			r.OldestAge = max(r.OldestAge, uint32(now.Sub(f.arrived)/ageUnit))
 		}
 	}
 	return r
 }
 
-// moveAll marks everything held as changed, for a full report.
-func (p *poolView) moveAll() {
+// markAllHeld marks everything held as changed, for a full report.
+func (p *poolState) markAllHeld() {
 	for up := range p.credits {
-		p.moved[heldKey{0, up}] = p.seq
+		p.changedHeld[heldKey{0, up}] = p.seq
 	}
 	for org, ups := range p.held {
 		for up := range ups {
-			p.moved[heldKey{org, up}] = p.seq
+			p.changedHeld[heldKey{org, up}] = p.seq
 		}
 	}
 }
 
-// heldMoved lists an organisation's held counts that the scheduler may not know.
-func (p *poolView) heldMoved(org version.ID) []wire.Held {
+// heldChanges lists an organisation's held counts that the scheduler may not know.
+func (p *poolState) heldChanges(org version.ID) []wire.Held {
 	var out []wire.Held
-	for k := range p.moved {
+	for k := range p.changedHeld {
 		if k.org != org {
 			continue
 		}
@@ -227,7 +227,7 @@
 	return out
 }
 
-func (p *poolView) takeSamples() []wire.Sample {
+func (p *poolState) takeSamples() []wire.Sample {
 	out := make([]wire.Sample, 0, len(p.samples))
 	for _, s := range p.samples {
 		out = append(out, s)
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -52,7 +52,7 @@
 // BadVersion is a configuration that did not.
 type BadVersion struct {
 	Number version.Number
-	Why    string
+	Reason string
 }
 
 // Roster is the routers on the VM list.
@@ -61,8 +61,8 @@
 // Drain says at first hand that an upstream is leaving. It is Firm from the VM
 // list, which says when it is over; the upstream's own word lapses after a time.
 type Drain struct {
-	Upstream version.ID
-	Firm     bool
+	Upstream   version.ID
+	Persistent bool
 }
 
 // Undrain says at first hand that an upstream takes work again.
@@ -102,10 +102,10 @@
 // Refuse answers a request that nothing of was sent. Doubt is set when an
 // earlier attempt with the same key may have run: the outcome is then unknown.
 type Refuse struct {
-	ID     uint64
-	Reason entry.Reason
-	After  time.Duration
-	Doubt  bool
+	ID         uint64
+	Reason     entry.Reason
+	RetryAfter time.Duration
+	Doubt      bool
 }
 
 // Fetch asks the driver to read a version from a peer.
@@ -127,37 +127,37 @@
 func (Fetch) output()  {}
 func (Event) output()  {}
 
-// maxSelfRounds bounds how often messages of this node to itself are delivered
+// maxLocalRounds bounds how often messages of this node to itself are delivered
 // within one Ready: report, grant, acknowledgement, and one to spare.
-const maxSelfRounds = 4
+const maxLocalRounds = 4
 
 // Ready returns what to do after the inputs since the last call. The driver
 // calls it after each batch of inputs.
 func (n *Node) Ready(now time.Time) []Output {
-	for range maxSelfRounds {
-		n.takeEntry()
+	for range maxLocalRounds {
+		n.collectDecisions()
 		n.sendReports(now)
 		n.planPools(now)
 		if !n.deliverToSelf(now) {
 			break
 		}
 	}
-	n.takeEntry()
-	n.reportCrashes()
-	n.seal()
+	n.collectDecisions()
+	n.logCrashChanges()
+	n.flush()
 	out := n.out
 	n.out = nil
 	return out
 }
 
-func (n *Node) takeEntry() {
+func (n *Node) collectDecisions() {
 	starts, refusals := n.entry.Take()
 	for _, s := range starts {
 		n.out = append(n.out, Start{ID: s.ID, Upstream: s.Upstream})
 	}
 	for _, r := range refusals {
 		n.release(r.ID)
-		n.out = append(n.out, Refuse{ID: r.ID, Reason: r.Reason, After: r.After})
+		n.out = append(n.out, Refuse{ID: r.ID, Reason: r.Reason, RetryAfter: r.RetryAfter})
 	}
 }
 
@@ -165,9 +165,9 @@
 	if n.ver == nil {
 		return
 	}
-	reports, silent := n.entry.Reports(n.ownerOf, now)
+	reports, silent := n.entry.Reports(n.schedulerOf, now)
 	for _, r := range reports {
-		d := n.box.To(r.To)
+		d := n.outbox.To(r.To)
 		d.Reports = append(d.Reports, r.Report)
 	}
 	for _, id := range silent {
@@ -177,38 +177,38 @@
 
 // deliverToSelf hands over the messages this node has for itself.
 func (n *Node) deliverToSelf(now time.Time) bool {
-	d := n.box.Take(n.set.ID)
+	d := n.outbox.Take(n.set.ID)
 	if d == nil {
 		return false
 	}
 	for i := range d.Reports {
-		n.report(n.set.ID, n.set.Inc, &d.Reports[i], now)
+		n.handleReport(n.set.ID, n.set.Inc, &d.Reports[i], now)
 	}
 	for i := range d.Grants {
 		n.entry.Grants(n.set.ID, &d.Grants[i], now)
 	}
 	d.From, d.Inc = n.set.ID, n.set.Inc
-	n.hearClaims(d, now)
+	n.handleClaims(d, now)
 	return true
 }
 
-// headVersion tells the version in force where every router hears it in time:
+// attachVersion tells the version in force where every router hears it in time:
 // on pings and acks, and on everything just after a change.
-func (n *Node) headVersion(d *wire.Datagram) {
+func (n *Node) attachVersion(d *wire.Datagram) {
 	if n.ver == nil {
 		return
 	}
-	if d.Ping != nil || d.Ack != nil || n.lastTick.Sub(n.changedAt) < versionSpread {
+	if d.Ping != nil || d.Ack != nil || n.lastTick.Sub(n.versionSince) < versionAnnounceDuration {
 		d.Version = &n.ver.Number
 	}
 }
 
 // seal hands every datagram over to be sent.
-func (n *Node) seal() {
-	n.box.Seal(n.members, func(to wire.NodeID, d *wire.Datagram) {
-		n.headVersion(d)
-		n.headCrashes(d)
-		d.Drains = n.drainsToTell()
+func (n *Node) flush() {
+	n.outbox.Flush(n.members, func(to wire.NodeID, d *wire.Datagram) {
+		n.attachVersion(d)
+		n.attachCrashChecksum(d)
+		d.DrainingUpstreams = n.drainsToAnnounce()
 		n.out = append(n.out, Send{To: to, Datagram: d})
 	})
 }
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -92,7 +92,7 @@
 	var out []wire.Cell
 	for org, a := range l.accounts {
 		if v, ok := a.cells[key]; ok {
-			out = append(out, wire.Cell{Node: node, Inc: key.inc, Org: org, Norm: v})
+			out = append(out, wire.Cell{Node: node, Inc: key.inc, Org: org, NormService: v})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Org < out[j].Org })
--- a/internal/core/member/rumour.go
+++ b/internal/core/member/gossip.go
@@ -7,39 +7,39 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-type rumour struct {
-	id   wire.NodeID
-	left int
+type gossipItem struct {
+	id        wire.NodeID
+	remaining int
 }
 
 // spread queues an update for the next datagrams.
-func (t *Table) spread(id wire.NodeID) {
-	times := spreadTimes * len(strconv.Itoa(len(t.members)))
-	for i := range t.rumours {
-		if t.rumours[i].id == id {
-			t.rumours[i].left = times
+func (t *Table) queueGossip(id wire.NodeID) {
+	times := retransmitMultiplier * len(strconv.Itoa(len(t.members)))
+	for i := range t.gossip {
+		if t.gossip[i].id == id {
+			t.gossip[i].remaining = times
 			return
 		}
 	}
-	t.rumours = append(t.rumours, rumour{id: id, left: times})
+	t.gossip = append(t.gossip, gossipItem{id: id, remaining: times})
 }
 
 // Lacks reports whether a router's place is not known yet. Where a pool is
 // scheduled depends on places, so views that lack one would disagree for ever.
-func (t *Table) Lacks(id wire.NodeID) bool {
+func (t *Table) LacksPlace(id wire.NodeID) bool {
 	m := t.members[id]
 	return m != nil && m.Place == ""
 }
 
 // Fill puts membership's part on a datagram to a router.
 func (t *Table) Fill(d *wire.Datagram, to wire.NodeID) {
-	d.From, d.Inc, d.Refute, d.State = t.self.ID, t.self.Inc, t.self.Refute, t.self.State
-	d.Tell = t.Lacks(to)
+	d.From, d.Inc, d.Refutations, d.State = t.self.ID, t.self.Inc, t.self.Refutations, t.self.State
+	d.WantsUpdate = t.LacksPlace(to)
 	if d.Ping != nil {
-		d.Join = t.joining(to)
+		d.Join = t.joinRequest(to)
 	}
 	if since, asked := t.join.take(to); asked {
-		d.Updates, d.Told = t.changedSince(since, to)
+		d.Updates, d.JoinClock = t.changedSince(since, to)
 		return
 	}
 	d.Updates = t.piggyback(to)
@@ -52,18 +52,18 @@
 	if m := t.members[to]; m != nil && m.State >= wire.Suspect && m.Inc != 0 {
 		out = append(out, m.Update)
 	}
-	if t.tell[to] {
-		delete(t.tell, to)
+	if t.updateRequested[to] {
+		delete(t.updateRequested, to)
 		out = append(out, t.self)
 	}
-	for _, i := range t.freshest(maxPiggyback + 1) {
+	for _, i := range t.leastSent(maxPiggyback + 1) {
 		if len(out) >= maxPiggyback {
 			break
 		}
-		if u, ok := t.entry(t.rumours[i].id); ok && u.ID != to {
+		if u, ok := t.updateOf(t.gossip[i].id); ok && u.ID != to {
 			out = append(out, u)
 		}
-		t.rumours[i].left--
+		t.gossip[i].remaining--
 	}
 	t.dropSpent()
 	return out
@@ -71,11 +71,11 @@
 
 // freshest returns the places of the rumours that were told least, those that were told
 // least first and of equal ones the earliest.
-func (t *Table) freshest(most int) []int {
+func (t *Table) leastSent(most int) []int {
 	best := make([]int, 0, most+1)
-	for i, r := range t.rumours {
+	for i, r := range t.gossip {
 		at := len(best)
-		for at > 0 && t.rumours[best[at-1]].left < r.left {
+		for at > 0 && t.gossip[best[at-1]].remaining < r.remaining {
 			at--
 		}
 		if at == most {
@@ -87,7 +87,7 @@
 	return best
 }
 
-func (t *Table) entry(id wire.NodeID) (wire.Update, bool) {
+func (t *Table) updateOf(id wire.NodeID) (wire.Update, bool) {
 	if id == t.self.ID {
 		return t.self, true
 	}
@@ -99,11 +99,11 @@
 }
 
 func (t *Table) dropSpent() {
-	kept := t.rumours[:0]
-	for _, r := range t.rumours {
-		if r.left > 0 {
+	kept := t.gossip[:0]
+	for _, r := range t.gossip {
+		if r.remaining > 0 {
 			kept = append(kept, r)
 		}
 	}
-	t.rumours = kept
+	t.gossip = kept
 }
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -17,34 +17,34 @@
 
 // join is one table's state of it, as the one that asks and as the one that is asked.
 type join struct {
-	clock  uint32                        // counts the changes of this table
-	own    uint32                        // clock of this router's own last change
-	asking bool                          // the next pings ask
-	since  map[wire.NodeID]uint32        // routers that asked, and the clock they know
-	told   map[wire.NodeID]wire.JoinFrom // as the asker: what each seed has told
-	seed   int                           // the seed that is asked, of those that there are
-	tries  int                           // asks of that seed without an answer
+	clock     uint32                           // counts the changes of this table
+	selfClock uint32                           // clock of this router's own last change
+	asking    bool                             // the next pings ask
+	since     map[wire.NodeID]uint32           // routers that asked, and the clock they know
+	answers   map[wire.NodeID]wire.JoinRequest // as the asker: what each seed has told
+	seed      int                              // the seed that is asked, of those that there are
+	attempts  int                              // asks of that seed without an answer
 }
 
-// joinTries is after how many asks without an answer the next seed is asked.
-const joinTries = 2
+// maxJoinAttempts is after how many asks without an answer the next seed is asked.
+const maxJoinAttempts = 2
 
 func newJoin() join {
-	return join{clock: 1, own: 1, since: map[wire.NodeID]uint32{}, told: map[wire.NodeID]wire.JoinFrom{}}
+	return join{clock: 1, selfClock: 1, since: map[wire.NodeID]uint32{}, answers: map[wire.NodeID]wire.JoinRequest{}}
 }
 
 // changed notes a change of a member, nil for this router itself.
 func (j *join) changed(m *Member) {
 	j.clock++
 	if m == nil {
-		j.own = j.clock
+		j.selfClock = j.clock
 		return
 	}
 	m.clock = j.clock
 }
 
 // asked notes what a router that joins knows. What a former process told is worth nothing.
-func (j *join) asked(from wire.NodeID, in *wire.JoinFrom, self wire.Incarnation) {
+func (j *join) requested(from wire.NodeID, in *wire.JoinRequest, self wire.Incarnation) {
 	since := in.Clock
 	if in.Inc != self {
 		since = 0
@@ -60,12 +60,12 @@
 }
 
 // heard notes a seed's answer.
-func (j *join) heard(from wire.NodeID, inc wire.Incarnation, clock uint32) {
-	j.tries = 0
-	if old := j.told[from]; old.Inc == inc && old.Clock >= clock {
+func (j *join) answered(from wire.NodeID, inc wire.Incarnation, clock uint32) {
+	j.attempts = 0
+	if old := j.answers[from]; old.Inc == inc && old.Clock >= clock {
 		return
 	}
-	j.told[from] = wire.JoinFrom{Inc: inc, Clock: clock}
+	j.answers[from] = wire.JoinRequest{Inc: inc, Clock: clock}
 }
 
 // changedSince returns the members that have changed since a clock, the earliest first, and
@@ -79,11 +79,11 @@
 	}
 	slices.SortFunc(list, func(a, b *Member) int { return cmp.Compare(a.clock, b.clock) })
 	upto = t.join.clock
-	if len(list) > maxAllSent {
-		list = list[:maxAllSent]
-		upto = list[maxAllSent-1].clock
+	if len(list) > maxJoinUpdates {
+		list = list[:maxJoinUpdates]
+		upto = list[maxJoinUpdates-1].clock
 	}
-	if t.join.own > since {
+	if t.join.selfClock > since {
 		out = append(out, t.self)
 	}
 	for _, m := range list {
@@ -94,16 +94,16 @@
 
 // joining returns what a ping to a router asks of it as a seed, nil for nothing. One seed
 // is asked, another one for each router, and the next one when it does not answer.
-func (t *Table) joining(to wire.NodeID) *wire.JoinFrom {
+func (t *Table) joinRequest(to wire.NodeID) *wire.JoinRequest {
 	j := &t.join
 	seeds := t.otherSeeds()
 	if !j.asking || len(seeds) == 0 || seeds[j.seed%len(seeds)] != to {
 		return nil
 	}
-	if j.tries++; j.tries > joinTries {
-		j.seed, j.tries = j.seed+1, 0
+	if j.attempts++; j.attempts > maxJoinAttempts {
+		j.seed, j.attempts = j.seed+1, 0
 	}
-	known := j.told[to]
+	known := j.answers[to]
 	return &known
 }
 
@@ -127,5 +127,5 @@
 
 // tickJoin decides whether this router still asks.
 func (t *Table) tickJoin(now time.Time) {
-	t.join.asking = t.alone || now.Sub(t.started) < joinFor
+	t.join.asking = t.alone || now.Sub(t.started) < joinDuration
 }
--- a/internal/core/member/known_bench_test.go
+++ b/internal/core/member/known_bench_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(0, 0)
 	t := New(wire.Update{ID: "10.0.0.0:1"}, nil, now, rand.New(rand.NewPCG(1, 1)))
 	for i := range 362 {
-		t.Meet([]wire.NodeID{wire.NodeID(fmt.Sprintf("10.0.%d.%d:1", i/200, i%200+1))}, now)
+		t.Add([]wire.NodeID{wire.NodeID(fmt.Sprintf("10.0.%d.%d:1", i/200, i%200+1))}, now)
 	}
 	b.Run("counted", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/core/member/live.go
+++ b/internal/core/member/live.go
@@ -23,10 +23,10 @@
 	switch {
 	case l.ids != nil && behind == 0:
 		return l.ids
-	case l.ids == nil || behind > len(t.touched):
-		l.ids = t.findLive(leaving)
+	case l.ids == nil || behind > len(t.changedIDs):
+		l.ids = t.listLive(leaving)
 	default:
-		l.ids = t.corrected(l.ids, t.touched[len(t.touched)-behind:], leaving)
+		l.ids = t.patchLive(l.ids, t.changedIDs[len(t.changedIDs)-behind:], leaving)
 	}
 	l.changes = t.Changes
 	return l.ids
@@ -38,22 +38,22 @@
 	changes int
 }
 
-// maxTouched is how many changes a list is corrected by at most; after more of them it is
+// maxChangedIDs is how many changes a list is corrected by at most; after more of them it is
 // made anew.
-const maxTouched = 64
+const maxChangedIDs = 64
 
 // changed counts a change of a router's state.
 func (t *Table) changed(id wire.NodeID) {
 	t.Changes++
-	if len(t.touched) == 2*maxTouched {
-		t.touched = append(t.touched[:0], t.touched[maxTouched:]...)
+	if len(t.changedIDs) == 2*maxChangedIDs {
+		t.changedIDs = append(t.changedIDs[:0], t.changedIDs[maxChangedIDs:]...)
 	}
-	t.touched = append(t.touched, id)
+	t.changedIDs = append(t.changedIDs, id)
 }
 
 // corrected returns a list with the present state of some routers. The list itself stays:
 // others may hold it.
-func (t *Table) corrected(ids, touched []wire.NodeID, leaving bool) []wire.NodeID {
+func (t *Table) patchLive(ids, touched []wire.NodeID, leaving bool) []wire.NodeID {
 	out := slices.Clone(ids)
 	for _, id := range touched {
 		i, listed := slices.BinarySearch(out, id)
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (t *Table) findLive(leaving bool) []wire.NodeID {
+func (t *Table) listLive(leaving bool) []wire.NodeID {
 	ids := []wire.NodeID{}
 	if t.isLive(t.self.ID, leaving) {
 		ids = append(ids, t.self.ID)
@@ -106,7 +106,7 @@
 	case wire.Alive, wire.Leaving:
 		return m.Inc != 0
 	case wire.Suspect:
-		return m.Inc != 0 && !m.Heard.IsZero()
+		return m.Inc != 0 && !m.Received.IsZero()
 	}
 	return false
 }
@@ -142,16 +142,16 @@
 }
 
 // Heard is which routers were heard directly.
-type Heard struct {
+type Received struct {
 	Routers int             // this one is not counted
 	Places  map[string]bool // by place: whether one of its routers was heard
 }
 
-// HeardSince counts the routers from which a datagram came after a time.
-func (t *Table) HeardSince(after time.Time) Heard {
-	out := Heard{Places: map[string]bool{}}
+// ReceivedSince counts the routers from which a datagram came after a time.
+func (t *Table) ReceivedSince(after time.Time) Received {
+	out := Received{Places: map[string]bool{}}
 	for _, m := range t.members {
-		heard := m.Heard.After(after)
+		heard := m.Received.After(after)
 		if heard {
 			out.Routers++
 		}
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -16,7 +16,7 @@
 
 // The list of live routers is corrected by what has changed and not made anew. Whatever
 // happens in between, it is the list that would be made anew.
-func TestLiveListIsCorrectedToWhatItWouldBeAnew(t *testing.T) {
+func TestPatchedLiveListEqualsFullList(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	now := t0
 	tab := New(wire.Update{ID: "10.0.0.0:1", Inc: 1, Place: "a"}, nil, now, rnd)
@@ -26,12 +26,12 @@
 		id := wire.NodeID(fmt.Sprintf("10.0.1.%d:1", rnd.IntN(120)))
 		switch rnd.IntN(4) {
 		case 0:
-			tab.Hear(&wire.Datagram{From: id, Inc: wire.Incarnation(1 + step/1000)}, now)
+			tab.Handle(&wire.Datagram{From: id, Inc: wire.Incarnation(1 + step/1000)}, now)
 		case 1:
 			tab.Suspect(id, now)
 		case 2:
-			u := wire.Update{ID: id, Inc: wire.Incarnation(1 + rnd.IntN(5)), Refute: uint32(rnd.IntN(3)), State: states[rnd.IntN(4)], Place: "b"}
-			tab.Hear(&wire.Datagram{From: "10.0.2.1:1", Inc: 1, Updates: []wire.Update{u}}, now)
+			u := wire.Update{ID: id, Inc: wire.Incarnation(1 + rnd.IntN(5)), Refutations: uint32(rnd.IntN(3)), State: states[rnd.IntN(4)], Place: "b"}
+			tab.Handle(&wire.Datagram{From: "10.0.2.1:1", Inc: 1, Updates: []wire.Update{u}}, now)
 		case 3:
 			tab.Tick(now)
 		}
@@ -41,26 +41,26 @@
 		leaving := rnd.IntN(2) == 0
 		before := tab.Live(leaving)
 		kept := slices.Clone(before)
-		require.Equal(t, tab.findLive(leaving), before, "step %d", step)
-		tab.Hear(&wire.Datagram{From: "10.0.3.1:1", Inc: wire.Incarnation(step + 2)}, now)
+		require.Equal(t, tab.listLive(leaving), before, "step %d", step)
+		tab.Handle(&wire.Datagram{From: "10.0.3.1:1", Inc: wire.Incarnation(step + 2)}, now)
 		tab.Live(leaving)
 		require.Equal(t, kept, before, "a list that was handed out stays as it is")
 	}
 }
 
 // The rumours that were told least go first; among equal ones the earliest.
-func TestFreshestRumoursGoFirst(t *testing.T) {
+func TestLeastSentGossipGoesFirst(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		tab := &Table{}
 		for i := range rnd.IntN(40) {
-			tab.rumours = append(tab.rumours, rumour{id: wire.NodeID(fmt.Sprint(i)), left: 1 + rnd.IntN(4)})
+			tab.gossip = append(tab.gossip, gossipItem{id: wire.NodeID(fmt.Sprint(i)), remaining: 1 + rnd.IntN(4)})
 		}
-		want := make([]int, len(tab.rumours))
+		want := make([]int, len(tab.gossip))
 		for i := range want {
 			want[i] = i
 		}
-		sort.SliceStable(want, func(a, b int) bool { return tab.rumours[want[a]].left > tab.rumours[want[b]].left })
-		assert.Equal(t, want[:min(maxPiggyback, len(want))], tab.freshest(maxPiggyback))
+		sort.SliceStable(want, func(a, b int) bool { return tab.gossip[want[a]].remaining > tab.gossip[want[b]].remaining })
+		assert.Equal(t, want[:min(maxPiggyback, len(want))], tab.leastSent(maxPiggyback))
 	}
 }
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -13,68 +13,68 @@
 
 // Timing of the failure detector.
 const (
-	ProbeEvery   = time.Second
-	ackTimeout   = 200 * time.Millisecond
-	suspectFor   = 1500 * time.Millisecond
-	retryDead    = 2 * time.Second
-	buryEvery    = 200 * time.Millisecond
-	forgetAfter  = 10 * time.Minute
-	helpers      = 2
-	maxPiggyback = 6
-	greetings    = 8 // routers pinged at once at the start
-	greetEvery   = 150 * time.Millisecond
-	// joinFor is how long a router that has started asks its seeds again and again
+	ProbeInterval     = time.Second
+	ackTimeout        = 200 * time.Millisecond
+	suspicionTimeout  = 1500 * time.Millisecond
+	deadRetryInterval = 2 * time.Second
+	expiryInterval    = 200 * time.Millisecond
+	deadTTL           = 10 * time.Minute
+	indirectProbes    = 2
+	maxPiggyback      = 6
+	maxSeedPings      = 8 // routers pinged at once at the start
+	seedPingInterval  = 150 * time.Millisecond
+	// joinDuration is how long a router that has started asks its seeds again and again
 	// for every router they know: where many start at once, each knows few at first.
-	joinFor    = 2500 * time.Millisecond
-	maxAllSent = 400 // updates in one answer, 60 bytes each
-	// spreadTimes is how many times each router that hears of an update sends it on, for
+	joinDuration   = 2500 * time.Millisecond
+	maxJoinUpdates = 400 // updates in one answer, 60 bytes each
+	// retransmitMultiplier is how many times each router that hears of an update sends it on, for
 	// each tenfold of the fleet. Every router sends it on that often, so each is reached
 	// many times over; by doublings in place of tenfolds, a common start would spend most of
 	// what it sends on that.
-	spreadTimes = 4
+	retransmitMultiplier = 4
 )
 
 // Member is one router as this one knows it.
 type Member struct {
 	wire.Update
-	Since time.Time // of the present state
-	Heard time.Time // last datagram from it
-	asked bool      // it was pinged since it was met
-	clock uint32    // of this table, at the latest change
+	Since    time.Time // of the present state
+	Received time.Time // last datagram from it
+	pinged   bool      // it was pinged since it was met
+	clock    uint32    // of this table, at the latest change
 }
 
 // Table is the membership state. The control goroutine owns it.
 type Table struct {
-	self      wire.Update
-	members   map[wire.NodeID]*Member
-	roster    map[wire.NodeID]bool // from the VM list, a hint
-	order     []wire.NodeID
-	next      int
-	probe     probe
-	rumours   []rumour
-	lastRun   time.Time
-	lastDed   time.Time
-	lastBury  time.Time
-	alone     bool // no other router was heard yet
-	started   time.Time
-	seeds     []wire.NodeID
-	join      join
-	lastGreet time.Time
-	rnd       *rand.Rand
-	relays    map[uint32]relay
-	tell      map[wire.NodeID]bool // routers that asked for this one's own update
-	seq       uint32
-	live      [2]liveList
-	touched   []wire.NodeID // the routers of the latest changes, in order
-	Changes   int           // counts changes of state, for whoever caches a view
+	self            wire.Update
+	members         map[wire.NodeID]*Member
+	roster          map[wire.NodeID]bool // from the VM list, a hint
+	order           []wire.NodeID
+	next            int
+	probe           probe
+	gossip          []gossipItem
+	lastProbe       time.Time
+	lastDeadRetry   time.Time
+	lastExpiry      time.Time
+	alone           bool // no other router was heard yet
+	started         time.Time
+	seeds           []wire.NodeID
+	join            join
+	lastSeedPing    time.Time
+	rnd             *rand.Rand
+	relays          map[uint32]relay
+	updateRequested map[wire.NodeID]bool // routers that asked for this one's own update
+	seq             uint32
+	live            [2]liveList
+	changedIDs      []wire.NodeID // the routers of the latest changes, in order
+	Changes         int           // counts changes of state, for whoever caches a view
 }
 
 type probe struct {
-	seq    uint32
-	target wire.NodeID
-	sent   time.Time
-	helped bool
-	open   bool
+	seq      uint32
+	target   wire.NodeID
+	sent     time.Time
+	indirect bool
+	open     bool
 }
 
 type relay struct {
@@ -93,19 +93,19 @@
 // New returns a table that knows itself and, as unheard, its seeds.
 func New(self wire.Update, seeds []wire.NodeID, now time.Time, rnd *rand.Rand) *Table {
 	t := &Table{
-		self:    self,
-		members: map[wire.NodeID]*Member{},
-		roster:  map[wire.NodeID]bool{},
-		rnd:     rnd,
-		relays:  map[uint32]relay{},
-		tell:    map[wire.NodeID]bool{},
-		alone:   true,
-		started: now,
-		seeds:   seeds,
-		join:    newJoin(),
+		self:            self,
+		members:         map[wire.NodeID]*Member{},
+		roster:          map[wire.NodeID]bool{},
+		rnd:             rnd,
+		relays:          map[uint32]relay{},
+		updateRequested: map[wire.NodeID]bool{},
+		alone:           true,
+		started:         now,
+		seeds:           seeds,
+		join:            newJoin(),
 	}
 	for _, id := range seeds {
-		t.meet(id, now)
+		t.add(id, now)
 	}
 	return t
 }
@@ -116,8 +116,8 @@
 // Leave marks this router as leaving: it takes no new scheduler role.
 func (t *Table) Leave() {
 	t.self.State = wire.Leaving
-	t.self.Refute++
-	t.spread(t.self.ID)
+	t.self.Refutations++
+	t.queueGossip(t.self.ID)
 	t.join.changed(nil)
 	t.changed(t.self.ID)
 }
@@ -125,8 +125,8 @@
 // Refresh raises this router's own number, after a pause in which others may
 // have given it up.
 func (t *Table) Refresh() {
-	t.self.Refute++
-	t.spread(t.self.ID)
+	t.self.Refutations++
+	t.queueGossip(t.self.ID)
 }
 
 // SetRoster takes the routers of the VM list. New ones are probed; absence
@@ -136,7 +136,7 @@
 	for _, id := range ids {
 		t.roster[id] = true
 		if id != t.self.ID && t.members[id] == nil {
-			t.meet(id, now)
+			t.add(id, now)
 		}
 	}
 }
@@ -154,13 +154,13 @@
 }
 
 // Meet adds routers that may be there, to be probed.
-func (t *Table) Meet(ids []wire.NodeID, now time.Time) {
+func (t *Table) Add(ids []wire.NodeID, now time.Time) {
 	for _, id := range ids {
-		t.meet(id, now)
+		t.add(id, now)
 	}
 }
 
-func (t *Table) meet(id wire.NodeID, now time.Time) {
+func (t *Table) add(id wire.NodeID, now time.Time) {
 	if id == t.self.ID || t.members[id] != nil {
 		return
 	}
@@ -177,19 +177,19 @@
 func (t *Table) Get(id wire.NodeID) *Member { return t.members[id] }
 
 // Hear takes a datagram's membership part. It returns acks and relayed pings.
-func (t *Table) Hear(d *wire.Datagram, now time.Time) []Send {
-	t.direct(d, now)
-	if d.Tell {
-		t.tell[d.From] = true
+func (t *Table) Handle(d *wire.Datagram, now time.Time) []Send {
+	t.handleDirect(d, now)
+	if d.WantsUpdate {
+		t.updateRequested[d.From] = true
 	}
 	if d.Join != nil {
-		t.join.asked(d.From, d.Join, t.self.Inc)
+		t.join.requested(d.From, d.Join, t.self.Inc)
 	}
 	for _, u := range d.Updates {
-		t.learn(u, d.Told != 0, now)
+		t.applyUpdate(u, d.JoinClock != 0, now)
 	}
-	if d.Told != 0 {
-		t.join.heard(d.From, d.Inc, d.Told)
+	if d.JoinClock != 0 {
+		t.join.answered(d.From, d.Inc, d.JoinClock)
 	}
 	var out []Send
 	if d.Ping != nil {
@@ -202,22 +202,22 @@
 }
 
 // direct is evidence from the router itself, stronger than anyone's suspicion.
-func (t *Table) direct(d *wire.Datagram, now time.Time) {
+func (t *Table) handleDirect(d *wire.Datagram, now time.Time) {
 	t.alone = false
-	t.meet(d.From, now)
+	t.add(d.From, now)
 	m := t.members[d.From]
 	if m == nil || d.Inc < m.Inc {
 		return
 	}
-	m.Heard = now
-	newer := d.Inc > m.Inc || d.Refute > m.Refute
+	m.Received = now
+	newer := d.Inc > m.Inc || d.Refutations > m.Refutations
 	if newer || m.State == wire.Suspect {
-		t.set(m, wire.Update{ID: d.From, Inc: d.Inc, Refute: max(d.Refute, sameInc(m, d)), State: d.State, Place: m.Place, Public: m.Public, Power: m.Power}, now)
-		t.spread(d.From)
+		t.set(m, wire.Update{ID: d.From, Inc: d.Inc, Refutations: max(d.Refutations, sameInc(m, d)), State: d.State, Place: m.Place, Public: m.Public, Power: m.Power}, now)
+		t.queueGossip(d.From)
 		return
 	}
 	if m.State == wire.Dead {
-		t.spread(d.From) // it will hear of its death and refute it
+		t.queueGossip(d.From) // it will hear of its death and refute it
 	}
 }
 
@@ -225,14 +225,14 @@
 	if m.Inc != d.Inc {
 		return 0
 	}
-	return m.Refute
+	return m.Refutations
 }
 
 // learn takes an update that rode on a datagram. One of an answer to a router that joins
 // is not sent on: whoever answered is telling it to all.
-func (t *Table) learn(u wire.Update, joining bool, now time.Time) {
+func (t *Table) applyUpdate(u wire.Update, joining bool, now time.Time) {
 	if u.ID == t.self.ID {
-		t.aboutSelf(u)
+		t.refute(u)
 		return
 	}
 	m := t.members[u.ID]
@@ -240,7 +240,7 @@
 		if u.State == wire.Dead {
 			return
 		}
-		t.meet(u.ID, now)
+		t.add(u.ID, now)
 		m = t.members[u.ID]
 	}
 	if m.Place == "" && u.Place != "" {
@@ -253,7 +253,7 @@
 	}
 	t.set(m, u, now)
 	if !joining {
-		t.spread(u.ID)
+		t.queueGossip(u.ID)
 	}
 }
 
@@ -262,17 +262,17 @@
 	if u.Inc != old.Inc {
 		return u.Inc > old.Inc
 	}
-	if u.Refute != old.Refute {
-		return u.Refute > old.Refute
+	if u.Refutations != old.Refutations {
+		return u.Refutations > old.Refutations
 	}
 	return u.State > old.State
 }
 
-// aboutSelf refutes a report of this router's own suspicion or death.
-func (t *Table) aboutSelf(u wire.Update) {
-	if u.Inc == t.self.Inc && u.State >= wire.Suspect && u.Refute >= t.self.Refute {
-		t.self.Refute = u.Refute + 1
-		t.spread(t.self.ID)
+// refute refutes a report of this router's own suspicion or death.
+func (t *Table) refute(u wire.Update) {
+	if u.Inc == t.self.Inc && u.State >= wire.Suspect && u.Refutations >= t.self.Refutations {
+		t.self.Refutations = u.Refutations + 1
+		t.queueGossip(t.self.ID)
 	}
 }
 
@@ -297,5 +297,5 @@
 	u := m.Update
 	u.State = wire.Suspect
 	t.set(m, u, now)
-	t.spread(id)
+	t.queueGossip(id)
 }
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -23,8 +23,8 @@
 	return New(wire.Update{ID: self, Inc: 5, Place: "a"}, seeds, t0, rand.New(rand.NewPCG(1, 1)))
 }
 
-func heard(t *Table, now time.Time) {
-	t.Hear(&wire.Datagram{From: peer, Inc: 7}, now)
+func receiveFromPeer(t *Table, now time.Time) {
+	t.Handle(&wire.Datagram{From: peer, Inc: 7}, now)
 }
 
 // run ticks for a while and returns the pings sent.
@@ -39,9 +39,9 @@
 	return pings
 }
 
-func TestSilenceIsSuspectedThenDeath(t *testing.T) {
+func TestSilentRouterIsSuspectedThenDead(t *testing.T) {
 	m := newTable(peer)
-	heard(m, t0)
+	receiveFromPeer(m, t0)
 	require.Equal(t, wire.Alive, m.Get(peer).State)
 	run(m, t0, 1500*time.Millisecond)
 	assert.Equal(t, wire.Suspect, m.Get(peer).State)
@@ -54,61 +54,61 @@
 
 func TestDirectEvidenceClearsSuspicion(t *testing.T) {
 	m := newTable(peer)
-	heard(m, t0)
+	receiveFromPeer(m, t0)
 	m.Suspect(peer, t0)
-	heard(m, t0.Add(time.Second))
+	receiveFromPeer(m, t0.Add(time.Second))
 	assert.Equal(t, wire.Alive, m.Get(peer).State)
 }
 
-func TestDeadAreLookedForAndComeBack(t *testing.T) {
+func TestDeadRouterIsPingedAndReturns(t *testing.T) {
 	m := newTable(peer)
-	heard(m, t0)
+	receiveFromPeer(m, t0)
 	run(m, t0, 6*time.Second)
 	require.Equal(t, wire.Dead, m.Get(peer).State)
 	assert.NotEmpty(t, run(m, t0.Add(6*time.Second), 5*time.Second))
 	assert.Equal(t, wire.Dead, m.piggyback(peer)[0].State, "it is told of its death")
-	m.Hear(&wire.Datagram{From: peer, Inc: 7, Refute: m.Get(peer).Refute + 1}, t0.Add(12*time.Second))
+	m.Handle(&wire.Datagram{From: peer, Inc: 7, Refutations: m.Get(peer).Refutations + 1}, t0.Add(12*time.Second))
 	assert.Equal(t, wire.Alive, m.Get(peer).State)
 }
 
-func TestOwnDeathIsRefuted(t *testing.T) {
+func TestReportOfOwnDeathIsRefuted(t *testing.T) {
 	m := newTable(peer)
-	m.Hear(&wire.Datagram{From: peer, Inc: 7, Updates: []wire.Update{{ID: self, Inc: 5, Refute: 3, State: wire.Dead}}}, t0)
-	assert.Equal(t, uint32(4), m.Self().Refute)
-	m.Hear(&wire.Datagram{From: peer, Inc: 7, Updates: []wire.Update{{ID: self, Inc: 4, Refute: 9, State: wire.Dead}}}, t0)
-	assert.Equal(t, uint32(4), m.Self().Refute, "of a former process")
+	m.Handle(&wire.Datagram{From: peer, Inc: 7, Updates: []wire.Update{{ID: self, Inc: 5, Refutations: 3, State: wire.Dead}}}, t0)
+	assert.Equal(t, uint32(4), m.Self().Refutations)
+	m.Handle(&wire.Datagram{From: peer, Inc: 7, Updates: []wire.Update{{ID: self, Inc: 4, Refutations: 9, State: wire.Dead}}}, t0)
+	assert.Equal(t, uint32(4), m.Self().Refutations, "of a former process")
 }
 
 func TestUpdatesAreOrdered(t *testing.T) {
-	alive := wire.Update{Inc: 2, Refute: 1}
+	alive := wire.Update{Inc: 2, Refutations: 1}
 	for _, c := range []struct {
 		u    wire.Update
 		wins bool
 	}{
 		{wire.Update{Inc: 3}, true},
-		{wire.Update{Inc: 1, Refute: 9, State: wire.Dead}, false},
-		{wire.Update{Inc: 2, Refute: 2}, true},
-		{wire.Update{Inc: 2, Refute: 0, State: wire.Dead}, false},
-		{wire.Update{Inc: 2, Refute: 1, State: wire.Suspect}, true},
-		{wire.Update{Inc: 2, Refute: 1}, false},
+		{wire.Update{Inc: 1, Refutations: 9, State: wire.Dead}, false},
+		{wire.Update{Inc: 2, Refutations: 2}, true},
+		{wire.Update{Inc: 2, Refutations: 0, State: wire.Dead}, false},
+		{wire.Update{Inc: 2, Refutations: 1, State: wire.Suspect}, true},
+		{wire.Update{Inc: 2, Refutations: 1}, false},
 	} {
 		assert.Equal(t, c.wins, supersedes(c.u, alive), "%+v", c.u)
 	}
 }
 
-func TestLeavingRouterTakesNoRole(t *testing.T) {
+func TestLeavingRouterTakesNoSchedulerRole(t *testing.T) {
 	m := newTable()
-	m.Hear(&wire.Datagram{From: peer, Inc: 7, State: wire.Leaving}, t0)
+	m.Handle(&wire.Datagram{From: peer, Inc: 7, State: wire.Leaving}, t0)
 	assert.Contains(t, m.Live(true), peer)
 	assert.NotContains(t, m.Live(false), peer)
 	m.Leave()
 	assert.NotContains(t, m.Live(false), self)
 }
 
-func TestOthersAreAskedBeforeSuspicion(t *testing.T) {
+func TestIndirectProbesPrecedeSuspicion(t *testing.T) {
 	m := newTable()
 	for i := 2; i < 6; i++ {
-		m.Hear(&wire.Datagram{From: wire.NodeID(fmt.Sprintf("10.0.0.%d:1", i)), Inc: 1}, t0)
+		m.Handle(&wire.Datagram{From: wire.NodeID(fmt.Sprintf("10.0.0.%d:1", i)), Inc: 1}, t0)
 	}
 	asked := 0
 	for _, s := range run(m, t0, 900*time.Millisecond) {
@@ -116,23 +116,23 @@
 			asked++
 		}
 	}
-	assert.Equal(t, helpers, asked)
+	assert.Equal(t, indirectProbes, asked)
 }
 
 // The number of probes does not grow with the fleet.
 func TestProbesAreBounded(t *testing.T) {
 	m := newTable()
 	for i := range 360 {
-		m.Hear(&wire.Datagram{From: wire.NodeID(fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+2)), Inc: 1}, t0)
+		m.Handle(&wire.Datagram{From: wire.NodeID(fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+2)), Inc: 1}, t0)
 	}
 	pings := run(m, t0.Add(time.Second), 20*time.Second)
-	assert.LessOrEqual(t, len(pings), 20*(1+helpers)+10+greetings)
+	assert.LessOrEqual(t, len(pings), 20*(1+indirectProbes)+10+maxSeedPings)
 	assert.LessOrEqual(t, len(m.piggyback(peer)), maxPiggyback)
 }
 
 // Routers that started a moment before their seeds stayed
 // alone for seconds, each its own scheduler.
-func TestGreetingIsRepeatedUntilSomeoneIsHeard(t *testing.T) {
+func TestSeedsArePingedUntilOneAnswers(t *testing.T) {
 	now := t0
 	tab := New(wire.Update{ID: "a", Inc: 1}, []wire.NodeID{"b", "c"}, now, rand.New(rand.NewPCG(1, 1)))
 	pings := func(d time.Duration) int {
@@ -143,15 +143,15 @@
 		return n
 	}
 	assert.GreaterOrEqual(t, pings(900*time.Millisecond), 8)
-	tab.Hear(&wire.Datagram{From: "b", Inc: 1}, now)
-	pings(joinFor)
-	tab.Hear(&wire.Datagram{From: "b", Inc: 1}, now)
+	tab.Handle(&wire.Datagram{From: "b", Inc: 1}, now)
+	pings(joinDuration)
+	tab.Handle(&wire.Datagram{From: "b", Inc: 1}, now)
 	assert.LessOrEqual(t, pings(900*time.Millisecond), 3, "and not for ever")
 }
 
 // When all routers start at once: each knew the few that its
 // seeds had met by then, and for seconds they disagreed on who schedules.
-func TestRoutersThatStartTogetherSoonKnowEachOther(t *testing.T) {
+func TestRoutersStartedTogetherFindEachOther(t *testing.T) {
 	const routers = 40
 	now := t0
 	ids := make([]wire.NodeID, routers)
@@ -165,7 +165,7 @@
 		src, dst := tabs[from], tabs[s.To]
 		d := &wire.Datagram{Ping: s.Ping, Ack: s.Ack}
 		src.Fill(d, s.To)
-		for _, reply := range dst.Hear(d, now) {
+		for _, reply := range dst.Handle(d, now) {
 			deliver(s.To, reply)
 		}
 	}
--- a/internal/core/member/outbox.go
+++ b/internal/core/member/outbox.go
@@ -5,46 +5,46 @@
 // Outbox fills one datagram for each router, so that everything for it since the
 // last sending goes out together. Its zero value is empty.
 type Outbox struct {
-	box   map[wire.NodeID]*wire.Datagram
-	order []wire.NodeID // in which they were begun
+	datagrams map[wire.NodeID]*wire.Datagram
+	order     []wire.NodeID // in which they were begun
 }
 
 // To returns the datagram being filled for a router.
 func (o *Outbox) To(id wire.NodeID) *wire.Datagram {
-	d := o.box[id]
+	d := o.datagrams[id]
 	if d != nil {
 		return d
 	}
-	if o.box == nil {
-		o.box = map[wire.NodeID]*wire.Datagram{}
+	if o.datagrams == nil {
+		o.datagrams = map[wire.NodeID]*wire.Datagram{}
 	}
 	d = &wire.Datagram{}
-	o.box[id] = d
+	o.datagrams[id] = d
 	o.order = append(o.order, id)
 	return d
 }
 
 // Crashes returns the part on requests that crash upstreams of the datagram for a router.
-func (o *Outbox) Crashes(id wire.NodeID) *wire.CrashNews {
+func (o *Outbox) Crashes(id wire.NodeID) *wire.CrashUpdate {
 	d := o.To(id)
 	if d.Crashes == nil {
-		d.Crashes = &wire.CrashNews{}
+		d.Crashes = &wire.CrashUpdate{}
 	}
 	return d.Crashes
 }
 
-// AnswerCrashes adds an answer on requests that crash upstreams; nil is none.
-func (o *Outbox) AnswerCrashes(to wire.NodeID, answer *wire.CrashNews) {
+// ReplyCrashes adds an answer on requests that crash upstreams; nil is none.
+func (o *Outbox) ReplyCrashes(to wire.NodeID, answer *wire.CrashUpdate) {
 	if answer == nil {
 		return
 	}
 	c := o.Crashes(to)
 	c.Records = append(c.Records, answer.Records...)
-	c.Stated, c.Sum = answer.Stated, answer.Sum
+	c.HasChecksum, c.Checksum = answer.HasChecksum, answer.Checksum
 }
 
-// TellCrashes adds news on requests that crash upstreams for every live router but one.
-func (o *Outbox) TellCrashes(live []wire.NodeID, but wire.NodeID, news []wire.CrashRecord) {
+// SendCrashes adds news on requests that crash upstreams for every live router but one.
+func (o *Outbox) SendCrashes(live []wire.NodeID, but wire.NodeID, news []wire.CrashRecord) {
 	if len(news) == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 // Post adds what membership sends.
-func (o *Outbox) Post(s Send) {
+func (o *Outbox) Add(s Send) {
 	d := o.To(s.To)
 	if s.Ping != nil {
 		d.Ping = s.Ping
@@ -69,11 +69,11 @@
 
 // Take removes the datagram for a router and returns it, or nil.
 func (o *Outbox) Take(id wire.NodeID) *wire.Datagram {
-	d := o.box[id]
+	d := o.datagrams[id]
 	if d == nil {
 		return nil
 	}
-	delete(o.box, id)
+	delete(o.datagrams, id)
 	for i, other := range o.order {
 		if other == id {
 			o.order = append(o.order[:i], o.order[i+1:]...)
@@ -85,12 +85,12 @@
 
 // Seal puts membership's head on every datagram, hands each over, and empties the
 // box.
-func (o *Outbox) Seal(t *Table, send func(to wire.NodeID, d *wire.Datagram)) {
+func (o *Outbox) Flush(t *Table, send func(to wire.NodeID, d *wire.Datagram)) {
 	for _, id := range o.order {
-		d := o.box[id]
+		d := o.datagrams[id]
 		t.Fill(d, id)
 		send(id, d)
 	}
-	clear(o.box)
+	clear(o.datagrams)
 	o.order = nil
 }
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -10,36 +10,36 @@
 // suspicion, death after suspicion, and a look for those that died.
 func (t *Table) Tick(now time.Time) []Send {
 	var out []Send
-	out = append(out, t.chase(now)...)
-	if now.Sub(t.lastBury) >= buryEvery {
-		t.lastBury = now
-		t.bury(now)
+	out = append(out, t.followProbe(now)...)
+	if now.Sub(t.lastExpiry) >= expiryInterval {
+		t.lastExpiry = now
+		t.expireMembers(now)
 	}
 	t.tickJoin(now)
-	if t.join.asking && now.Sub(t.lastGreet) >= greetEvery {
-		t.lastGreet = now
-		out = append(out, t.greet(now)...)
+	if t.join.asking && now.Sub(t.lastSeedPing) >= seedPingInterval {
+		t.lastSeedPing = now
+		out = append(out, t.pingSeeds(now)...)
 	}
-	if now.Sub(t.lastRun) >= ProbeEvery {
-		t.lastRun = now
+	if now.Sub(t.lastProbe) >= ProbeInterval {
+		t.lastProbe = now
 		out = append(out, t.startProbe(now)...)
 	}
-	if now.Sub(t.lastDed) >= retryDead {
-		t.lastDed = now
-		out = append(out, t.retryOne()...)
+	if now.Sub(t.lastDeadRetry) >= deadRetryInterval {
+		t.lastDeadRetry = now
+		out = append(out, t.pingDead()...)
 	}
 	return out
 }
 
 // chase follows the open probe: ask others, then suspect.
-func (t *Table) chase(now time.Time) []Send {
+func (t *Table) followProbe(now time.Time) []Send {
 	if !t.probe.open {
 		return nil
 	}
 	age := now.Sub(t.probe.sent)
-	if age >= ackTimeout && !t.probe.helped {
-		t.probe.helped = true
-		return t.askHelp()
+	if age >= ackTimeout && !t.probe.indirect {
+		t.probe.indirect = true
+		return t.probeIndirectly()
 	}
 	if age >= 2*ackTimeout {
 		t.probe.open = false
@@ -48,10 +48,10 @@
 	return nil
 }
 
-func (t *Table) askHelp() []Send {
+func (t *Table) probeIndirectly() []Send {
 	var out []Send
-	for _, id := range t.Random(helpers + 1) {
-		if id != t.probe.target && len(out) < helpers {
+	for _, id := range t.Random(indirectProbes + 1) {
+		if id != t.probe.target && len(out) < indirectProbes {
 			out = append(out, Send{To: id, Ping: &wire.Ping{Seq: t.probe.seq, Target: t.probe.target}})
 		}
 	}
@@ -60,26 +60,26 @@
 
 // bury turns old suspicion into death, and forgets the long dead that the VM
 // list does not name.
-func (t *Table) bury(now time.Time) {
+func (t *Table) expireMembers(now time.Time) {
 	for id, m := range t.members {
-		if m.State == wire.Suspect && m.asked && now.Sub(m.Since) >= suspectFor {
+		if m.State == wire.Suspect && m.pinged && now.Sub(m.Since) >= suspicionTimeout {
 			u := m.Update
 			u.State = wire.Dead
 			t.set(m, u, now)
-			t.spread(id)
+			t.queueGossip(id)
 		}
-		if m.State == wire.Dead && now.Sub(m.Since) >= forgetAfter && !t.roster[id] {
-			t.forget(id)
+		if m.State == wire.Dead && now.Sub(m.Since) >= deadTTL && !t.roster[id] {
+			t.remove(id)
 		}
 	}
 	for seq, r := range t.relays {
-		if now.Sub(r.at) > suspectFor {
+		if now.Sub(r.at) > suspicionTimeout {
 			delete(t.relays, seq)
 		}
 	}
 }
 
-func (t *Table) forget(id wire.NodeID) {
+func (t *Table) remove(id wire.NodeID) {
 	delete(t.members, id)
 	for i, o := range t.order {
 		if o == id {
@@ -111,15 +111,15 @@
 // and hears of the others within a round trip. It is repeated until some router
 // was heard: seeds start in any order, and a datagram to a port that is not open
 // yet is lost.
-func (t *Table) greet(now time.Time) []Send {
+func (t *Table) pingSeeds(now time.Time) []Send {
 	var out []Send
-	for _, id := range t.seeds[:min(greetings, len(t.seeds))] {
+	for _, id := range t.seeds[:min(maxSeedPings, len(t.seeds))] {
 		m := t.members[id]
 		if m == nil {
 			continue // this router itself
 		}
-		if !m.asked {
-			m.asked, m.Since = true, now
+		if !m.pinged {
+			m.pinged, m.Since = true, now
 		}
 		t.seq++ // no probe: silence proves nothing yet
 		out = append(out, Send{To: id, Ping: &wire.Ping{Seq: t.seq}})
@@ -129,16 +129,16 @@
 
 func (t *Table) ping(id wire.NodeID, now time.Time) []Send {
 	t.seq++
-	if m := t.members[id]; !m.asked {
-		m.asked = true
+	if m := t.members[id]; !m.pinged {
+		m.pinged = true
 		m.Since = now
 	}
 	t.probe = probe{seq: t.seq, target: id, sent: now, open: true}
 	return []Send{{To: id, Ping: &wire.Ping{Seq: t.seq}}}
 }
 
-// retryOne pings one dead router, so that the two sides of a cut find each other.
-func (t *Table) retryOne() []Send {
+// pingDead pings one dead router, so that the two sides of a cut find each other.
+func (t *Table) pingDead() []Send {
 	var dead []wire.NodeID
 	for _, id := range t.order {
 		if t.members[id].State == wire.Dead {
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -20,25 +20,25 @@
 
 // Timing of a node.
 const (
-	// TickEvery is how often the driver calls Tick.
-	TickEvery = 50 * time.Millisecond
-	// PauseLimit is the gap between two ticks after which the node takes itself
+	// TickInterval is how often the driver calls Tick.
+	TickInterval = 50 * time.Millisecond
+	// MaxTickGap is the gap between two ticks after which the node takes itself
 	// to have been frozen. It is shorter than any lease.
-	PauseLimit = time.Second
+	MaxTickGap = time.Second
 
-	ledgerEvery   = 5 * time.Second
-	copyEvery     = time.Second
-	poolsEvery    = 200 * time.Millisecond
-	resignAfter   = 10 * time.Second // of silence, when another is the scheduler
-	forgetAfter   = 10 * time.Minute // of silence; a new start costs the settling time
-	readyWait     = 3 * time.Second
-	fetchAgain    = time.Second
-	drainHold     = time.Minute
-	drainSpread   = 5 * time.Second
-	versionSpread = 2 * time.Second
-	watchers      = 2
-	pushTo        = 3
-	copiesPerSend = 64
+	ledgerInterval          = 5 * time.Second
+	poolCopyInterval        = time.Second
+	poolCheckInterval       = 200 * time.Millisecond
+	resignTimeout           = 10 * time.Second // of silence, when another is the scheduler
+	idlePoolTTL             = 10 * time.Minute // of silence; a new start costs the settling time
+	peerWaitTimeout         = 3 * time.Second
+	fetchRetryInterval      = time.Second
+	drainTTL                = time.Minute
+	drainAnnounceDuration   = 5 * time.Second
+	versionAnnounceDuration = 2 * time.Second
+	watchersPerPlace        = 2
+	pushFanout              = 3
+	maxCellsPerCopy         = 64
 )
 
 // Settings of a node, fixed for the process.
@@ -59,36 +59,36 @@
 
 // Node is one router's control state. One goroutine owns it.
 type Node struct {
-	set     Settings
-	ver     *version.Version
-	members *member.Table
-	entry   *entry.Entry
-	led     *ledger.Ledger
-	witness *claim.Witness
-	pools   map[version.ID]*hosted
-	offsets map[version.ID]map[version.ID]uint64 // pool, organisation: copies from schedulers
-	asks    map[uint64]*asking
-	holds   map[uint64]*claim.Ask // claims of requests past the witnesses
-	drains  map[version.ID]*drain
-	crashes *quarantine.Tracker
-	owners  ownerCache
+	set        Settings
+	ver        *version.Version
+	members    *member.Table
+	entry      *entry.Entry
+	led        *ledger.Ledger
+	witness    *claim.Witness
+	pools      map[version.ID]*hostedPool
+	offsets    map[version.ID]map[version.ID]uint64 // pool, organisation: copies from schedulers
+	proposals  map[uint64]*pendingProposal
+	heldClaims map[uint64]*claim.Proposal // claims of requests past the witnesses
+	drains     map[version.ID]*drain
+	crashes    *quarantine.Tracker
+	schedulers schedulerCache
 
 	rejected map[version.Number]bool
 	fetching version.Number
 	fetchAt  time.Time
 
-	started    time.Time
-	lastTick   time.Time
-	lastLedger time.Time
-	lastCopy   time.Time
-	lastPools  time.Time
-	changedAt  time.Time // of the version in force
-	copyFrom   int
-	heardPeer  bool
-	leaving    bool
-	rnd        *rand.Rand
+	started      time.Time
+	lastTick     time.Time
+	lastLedger   time.Time
+	lastCopy     time.Time
+	lastPools    time.Time
+	versionSince time.Time // of the version in force
+	nextCell     int
+	peerSeen     bool
+	leaving      bool
+	rnd          *rand.Rand
 
-	box    member.Outbox
+	outbox member.Outbox
 	out    []Output
 	Counts Counts
 }
@@ -98,21 +98,21 @@
 	Woke, Stale, SameRevision, Takeovers uint64
 }
 
-type hosted struct {
+type hostedPool struct {
 	*sched.Pool
 	lastReport time.Time
 }
 
-type asking struct {
-	ask *claim.Ask
-	req entry.Request
+type pendingProposal struct {
+	proposal *claim.Proposal
+	req      entry.Request
 }
 
 type drain struct {
-	first     time.Time // learned
-	renewed   time.Time
-	firstHand bool
-	firm      bool // does not lapse
+	learnedAt  time.Time // learned
+	renewedAt  time.Time
+	firstHand  bool
+	persistent bool // does not lapse
 }
 
 // New returns a node that has heard nobody.
@@ -120,21 +120,21 @@
 	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
 	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Public: set.Public}
 	n := &Node{
-		set:      set,
-		members:  member.New(self, set.Seeds, now, rnd),
-		entry:    entry.New(set.Place, now),
-		led:      ledger.New(),
-		witness:  claim.NewWitness(now),
-		pools:    map[version.ID]*hosted{},
-		offsets:  map[version.ID]map[version.ID]uint64{},
-		asks:     map[uint64]*asking{},
-		holds:    map[uint64]*claim.Ask{},
-		drains:   map[version.ID]*drain{},
-		crashes:  quarantine.NewTracker(set.ID),
-		rejected: map[version.Number]bool{},
-		started:  now,
-		lastTick: now,
-		rnd:      rnd,
+		set:        set,
+		members:    member.New(self, set.Seeds, now, rnd),
+		entry:      entry.New(set.Place, now),
+		led:        ledger.New(),
+		witness:    claim.NewWitness(now),
+		pools:      map[version.ID]*hostedPool{},
+		offsets:    map[version.ID]map[version.ID]uint64{},
+		proposals:  map[uint64]*pendingProposal{},
+		heldClaims: map[uint64]*claim.Proposal{},
+		drains:     map[version.ID]*drain{},
+		crashes:    quarantine.NewTracker(set.ID),
+		rejected:   map[version.Number]bool{},
+		started:    now,
+		lastTick:   now,
+		rnd:        rnd,
 	}
 	n.members.Refresh()
 	return n
@@ -145,7 +145,7 @@
 
 // Step takes one input.
 func (n *Node) Step(in Input, now time.Time) {
-	n.notePause(now)
+	n.detectPause(now)
 	switch in := in.(type) {
 	case Receive:
 		n.receive(in.Datagram, now)
@@ -160,16 +160,16 @@
 	case Return:
 		n.entry.Return(in.ID, in.Failed, now)
 	case NewVersion:
-		n.newVersion(in.Version, now)
+		n.acceptVersion(in.Version, now)
 	case BadVersion:
 		n.rejected[in.Number] = true
-		n.event("version-rejected", in.Number.Revision, in.Why)
+		n.event("version-rejected", in.Number.Revision, in.Reason)
 	case Roster:
 		n.members.SetRoster(in.Routers, now)
 	case Drain:
-		n.markDrain(in.Upstream, drain{firstHand: true, firm: in.Firm}, now)
+		n.markDrain(in.Upstream, drain{firstHand: true, persistent: in.Persistent}, now)
 	case Undrain:
-		n.unmark(in.Upstream)
+		n.clearDrain(in.Upstream)
 	case Broke:
 		n.broke(in, now)
 	case ConnRefused:
@@ -181,40 +181,40 @@
 	}
 }
 
-// Tick moves time on. The driver calls it every TickEvery.
+// Tick moves time on. The driver calls it every TickInterval.
 func (n *Node) Tick(now time.Time) {
-	n.notePause(now)
+	n.detectPause(now)
 	n.lastTick = now
 	for _, s := range n.members.Tick(now) {
-		n.box.Post(s)
+		n.outbox.Add(s)
 	}
 	n.entry.Tick(now)
 	n.witness.Tick(now)
-	n.tickAsks(now)
-	n.tickDrains(now)
+	n.tickProposals(now)
+	n.expireDrains(now)
 	n.tickPools(now)
-	n.box.TellCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
-	if now.Sub(n.lastLedger) >= ledgerEvery {
+	n.outbox.SendCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
+	if now.Sub(n.lastLedger) >= ledgerInterval {
 		n.lastLedger = now
 		n.sendLedger()
 	}
-	if now.Sub(n.lastCopy) >= copyEvery {
+	if now.Sub(n.lastCopy) >= poolCopyInterval {
 		n.lastCopy = now
 		n.copyPools()
 	}
 }
 
-// notePause notices that the process was frozen: leases ran out meanwhile, so
+// detectPause notices that the process was frozen: leases ran out meanwhile, so
 // every grant and scheduler role is given up before anything else is done.
-func (n *Node) notePause(now time.Time) {
-	if now.Sub(n.lastTick) <= PauseLimit {
+func (n *Node) detectPause(now time.Time) {
+	if now.Sub(n.lastTick) <= MaxTickGap {
 		return
 	}
 	n.event("woke", uint64(now.Sub(n.lastTick).Milliseconds()), "milliseconds without a tick")
 	n.lastTick = now
 	n.Counts.Woke++
 	n.entry.Woke()
-	n.pools = map[version.ID]*hosted{}
+	n.pools = map[version.ID]*hostedPool{}
 	n.members.Refresh()
 }
 
@@ -224,39 +224,39 @@
 	if d.Inc < before {
 		return // a datagram of a process that has ended
 	}
-	for _, s := range n.members.Hear(d, now) {
-		n.box.Post(s)
+	for _, s := range n.members.Handle(d, now) {
+		n.outbox.Add(s)
 	}
-	n.heardPeer = true
-	if d.Tell {
-		n.box.To(d.From)
+	n.peerSeen = true
+	if d.WantsUpdate {
+		n.outbox.To(d.From)
 	}
 	if d.Version != nil {
-		n.offer(d.From, *d.Version, now)
+		n.offerVersion(d.From, *d.Version, now)
 	}
-	for _, id := range d.Drains {
+	for _, id := range d.DrainingUpstreams {
 		n.markDrain(id, drain{}, now)
 	}
 	for i := range d.Reports {
-		n.report(d.From, d.Inc, &d.Reports[i], now)
+		n.handleReport(d.From, d.Inc, &d.Reports[i], now)
 	}
 	for i := range d.Grants {
 		n.entry.Grants(d.From, &d.Grants[i], now)
 	}
 	if d.Ledger != nil {
 		for _, r := range d.Ledger.Rows {
-			n.led.Merge(d.From, d.Inc, r.Org, r.Norm)
+			n.led.Merge(d.From, d.Inc, r.Org, r.NormService)
 		}
 	}
-	n.hearClaims(d, now)
+	n.handleClaims(d, now)
 	if d.Join != nil {
-		n.box.AnswerCrashes(d.From, n.crashes.All(now))
+		n.outbox.ReplyCrashes(d.From, n.crashes.HeldUpdate(now))
 	}
 	if d.Crashes != nil {
-		n.box.AnswerCrashes(d.From, n.crashes.Heard(d.From, d.Crashes, now))
+		n.outbox.ReplyCrashes(d.From, n.crashes.HandleUpdate(d.From, d.Crashes, now))
 	}
-	for i := range d.States {
-		n.adopt(&d.States[i], now)
+	for i := range d.PoolStates {
+		n.adoptPoolState(&d.PoolStates[i], now)
 	}
 }
 
@@ -267,9 +267,9 @@
 	return 0
 }
 
-// newVersion accepts a checked version if it is newer than the one in force:
+// acceptVersion accepts a checked version if it is newer than the one in force:
 // versions never go back, whatever a source offers.
-func (n *Node) newVersion(v *version.Version, now time.Time) {
+func (n *Node) acceptVersion(v *version.Version, now time.Time) {
 	if n.ver != nil {
 		cur := n.ver.Number
 		if cur.Revision == v.Number.Revision && cur.Hash != v.Number.Hash {
@@ -284,8 +284,8 @@
 		}
 	}
 	n.ver = v
-	n.changedAt = now
-	n.owners.clear()
+	n.versionSince = now
+	n.schedulers.clear()
 	n.entry.SetVersion(v)
 	for id, p := range n.pools {
 		if v.Pools[id] == nil {
@@ -294,21 +294,21 @@
 		}
 		p.SetVersion(v)
 	}
-	for _, id := range n.members.Random(pushTo) {
-		n.box.To(id)
+	for _, id := range n.members.Random(pushFanout) {
+		n.outbox.To(id)
 	}
 	n.event("version-accepted", v.Number.Revision, "")
 }
 
 // offer asks for a version that a peer has and this node has not.
-func (n *Node) offer(from wire.NodeID, num version.Number, now time.Time) {
+func (n *Node) offerVersion(from wire.NodeID, num version.Number, now time.Time) {
 	if num.Revision == 0 || n.rejected[num] {
 		return
 	}
 	if n.ver != nil && !n.ver.Number.Less(num) {
 		return
 	}
-	if n.fetching == num && now.Sub(n.fetchAt) < fetchAgain {
+	if n.fetching == num && now.Sub(n.fetchAt) < fetchRetryInterval {
 		return
 	}
 	n.fetching, n.fetchAt = num, now
@@ -321,11 +321,11 @@
 	}
 	n.leaving = true
 	n.members.Leave()
-	n.owners.clear()
+	n.schedulers.clear()
 	n.copyPools()
 	for _, id := range n.members.Live(true) {
 		if id != n.set.ID {
-			n.box.To(id)
+			n.outbox.To(id)
 		}
 	}
 	n.event("leaving", 0, "")
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -18,7 +18,7 @@
 }
 
 // sent returns the datagram for a router among the outputs, or nil.
-func sent(outs []Output, to wire.NodeID) *wire.Datagram {
+func datagramTo(outs []Output, to wire.NodeID) *wire.Datagram {
 	for _, o := range outs {
 		if s, ok := o.(Send); ok && s.To == to {
 			return s.Datagram
@@ -29,7 +29,7 @@
 
 // Where a pool is scheduled depends on places: a router met by a datagram alone
 // must be asked for its own.
-func TestRouterAsksForThePlaceItLacks(t *testing.T) {
+func TestRouterRequestsMissingPlaceOfPeer(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
 	b.Ready(t0)
 	for i := range 40 { // b's own update has been told often enough
@@ -37,19 +37,19 @@
 		b.Ready(t0)
 	}
 	a.Step(Receive{&wire.Datagram{From: "10.0.0.2:1", Inc: wire.IncarnationAt(t0), Ping: &wire.Ping{Seq: 1}}}, t0)
-	ask := sent(a.Ready(t0), "10.0.0.2:1")
+	ask := datagramTo(a.Ready(t0), "10.0.0.2:1")
 	require.NotNil(t, ask)
-	assert.True(t, ask.Tell)
+	assert.True(t, ask.WantsUpdate)
 	ask.From = "10.0.0.1:1"
 	b.Step(Receive{ask}, t0)
-	answer := sent(b.Ready(t0), "10.0.0.1:1")
+	answer := datagramTo(b.Ready(t0), "10.0.0.1:1")
 	require.NotNil(t, answer)
 	answer.From = "10.0.0.2:1"
 	a.Step(Receive{answer}, t0)
 	assert.Equal(t, "a", a.members.Get("10.0.0.2:1").Place)
 }
 
-func TestDatagramsOfAnEndedProcessAreDropped(t *testing.T) {
+func TestDatagramsOfOlderIncarnationAreDropped(t *testing.T) {
 	a := newNode("10.0.0.1:1")
 	a.Step(Receive{&wire.Datagram{From: "10.0.0.2:1", Inc: 9}}, t0)
 	a.Step(Receive{&wire.Datagram{From: "10.0.0.2:1", Inc: 8, Version: &version.Number{Revision: 7, Hash: 1}}}, t0)
@@ -74,18 +74,18 @@
 	}
 	a.Step(offer, t0)
 	require.Equal(t, 1, fetches())
-	a.Step(BadVersion{Number: num, Why: "test"}, t0)
-	a.Step(offer, t0.Add(2*fetchAgain))
+	a.Step(BadVersion{Number: num, Reason: "test"}, t0)
+	a.Step(offer, t0.Add(2*fetchRetryInterval))
 	assert.Zero(t, fetches())
 }
 
-func TestNotReadyBeforePeersHadTheirChance(t *testing.T) {
+func TestNotReadyUntilPeerSeenOrTimeout(t *testing.T) {
 	a := newNode("10.0.0.1:1")
 	assert.False(t, a.IsReady(t0.Add(time.Hour)), "no version")
 	a.ver = &version.Version{}
 	assert.False(t, a.IsReady(t0))
-	assert.True(t, a.IsReady(t0.Add(readyWait)))
-	a.heardPeer = true
+	assert.True(t, a.IsReady(t0.Add(peerWaitTimeout)))
+	a.peerSeen = true
 	assert.True(t, a.IsReady(t0))
 	a.Step(Leave{}, t0)
 	assert.False(t, a.IsReady(t0.Add(time.Hour)))
@@ -93,8 +93,8 @@
 
 func TestPauseGivesUpSchedulerRoles(t *testing.T) {
 	a := newNode("10.0.0.1:1")
-	a.pools[1] = &hosted{}
-	a.Tick(t0.Add(PauseLimit + time.Millisecond))
+	a.pools[1] = &hostedPool{}
+	a.Tick(t0.Add(MaxTickGap + time.Millisecond))
 	assert.Empty(t, a.pools)
 	assert.Equal(t, uint64(1), a.Counts.Woke)
 }
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -13,35 +13,35 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// ownerCache keeps who schedules each pool until membership or version change.
-type ownerCache struct {
-	changes int
-	owners  map[version.ID][]wire.NodeID
+// schedulerCache keeps who schedules each pool until membership or version change.
+type schedulerCache struct {
+	changes    int
+	schedulers map[version.ID][]wire.NodeID
 }
 
-func (c *ownerCache) clear() { c.owners = nil }
+func (c *schedulerCache) clear() { c.schedulers = nil }
 
-// ownerOf returns the router that schedules a pool in this node's view.
-func (n *Node) ownerOf(pool version.ID) wire.NodeID {
-	return n.ownersOf(pool)[0]
+// schedulerOf returns the router that schedules a pool in this node's view.
+func (n *Node) schedulerOf(pool version.ID) wire.NodeID {
+	return n.schedulersOf(pool)[0]
 }
 
-// ownersOf returns the two first routers of the pool's rendezvous order: the
+// schedulersOf returns the two first routers of the pool's rendezvous order: the
 // scheduler and the one that would follow it. Routers in the pool's region come
 // first, so that a cut between regions leaves each its own scheduler.
-func (n *Node) ownersOf(pool version.ID) []wire.NodeID {
-	if n.owners.owners == nil || n.owners.changes != n.members.Changes {
-		n.owners = ownerCache{changes: n.members.Changes, owners: map[version.ID][]wire.NodeID{}}
+func (n *Node) schedulersOf(pool version.ID) []wire.NodeID {
+	if n.schedulers.schedulers == nil || n.schedulers.changes != n.members.Changes {
+		n.schedulers = schedulerCache{changes: n.members.Changes, schedulers: map[version.ID][]wire.NodeID{}}
 	}
-	if ids, ok := n.owners.owners[pool]; ok {
+	if ids, ok := n.schedulers.schedulers[pool]; ok {
 		return ids
 	}
-	ids := n.rank(pool)
-	n.owners.owners[pool] = ids
+	ids := n.rankRouters(pool)
+	n.schedulers.schedulers[pool] = ids
 	return ids
 }
 
-func (n *Node) rank(pool version.ID) []wire.NodeID {
+func (n *Node) rankRouters(pool version.ID) []wire.NodeID {
 	live := slices.Clone(n.members.Live(false))
 	if len(live) == 0 {
 		live = slices.Clone(n.members.Live(true))
@@ -83,7 +83,7 @@
 
 // report takes a router's report. Whoever is reported to is the scheduler, so
 // that two views which disagree for a moment stop no request.
-func (n *Node) report(from wire.NodeID, inc wire.Incarnation, r *wire.Report, now time.Time) {
+func (n *Node) handleReport(from wire.NodeID, inc wire.Incarnation, r *wire.Report, now time.Time) {
 	if n.ver == nil || n.ver.Pools[r.Pool] == nil {
 		return
 	}
@@ -95,13 +95,13 @@
 	p.Report(from, inc, r, now)
 }
 
-func (n *Node) takeOver(pool version.ID, now time.Time) *hosted {
-	p := &hosted{Pool: sched.New(pool, n.ver, n.led, n.set.Sched, now)}
+func (n *Node) takeOver(pool version.ID, now time.Time) *hostedPool {
+	p := &hostedPool{Pool: sched.New(pool, n.ver, n.led, n.set.Sched, now)}
 	p.Adopt(n.offsetList(pool), now)
 	for id := range n.drains {
 		p.Drain(id, true)
 	}
-	p.SetFraction(n.fraction())
+	p.SetSlotFraction(n.slotFraction())
 	n.pools[pool] = p
 	n.Counts.Takeovers++
 	n.event("scheduler-of", uint64(pool), n.ver.Pools[pool].Service+"@"+n.ver.Pools[pool].Region)
@@ -111,7 +111,7 @@
 func (n *Node) offsetList(pool version.ID) []wire.Offset {
 	var out []wire.Offset
 	for org, v := range n.offsets[pool] {
-		out = append(out, wire.Offset{Org: org, Norm: v})
+		out = append(out, wire.Offset{Org: org, NormService: v})
 	}
 	return out
 }
@@ -119,7 +119,7 @@
 // fraction is the part of every slot this side may grant. Routers out of reach
 // that the VM list names may be on the other side of a cut with a scheduler of
 // their own; a single one is taken to have died.
-func (n *Node) fraction() float64 {
+func (n *Node) slotFraction() float64 {
 	roster := n.members.Roster()
 	live := map[wire.NodeID]bool{}
 	for _, id := range n.members.Live(true) {
@@ -140,7 +140,7 @@
 func (n *Node) planPools(now time.Time) {
 	for _, id := range n.poolIDs() {
 		for _, s := range n.pools[id].Plan(now) {
-			d := n.box.To(s.To)
+			d := n.outbox.To(s.To)
 			d.Grants = append(d.Grants, s.Grants)
 		}
 	}
@@ -150,21 +150,21 @@
 
 // tickPools drops dead routers from the pools, and pools nobody reports to.
 func (n *Node) tickPools(now time.Time) {
-	if len(n.pools) == 0 || now.Sub(n.lastPools) < poolsEvery {
+	if len(n.pools) == 0 || now.Sub(n.lastPools) < poolCheckInterval {
 		return
 	}
 	n.lastPools = now
-	f := n.fraction()
+	f := n.slotFraction()
 	for _, id := range n.poolIDs() {
 		p := n.pools[id]
-		p.SetFraction(f)
+		p.SetSlotFraction(f)
 		for _, m := range n.members.All() {
 			if m.State == wire.Dead {
-				p.Lost(m.ID, now)
+				p.RemoveRouter(m.ID, now)
 			}
-			p.Ended(m.ID, m.Inc, now)
+			p.RemoveStale(m.ID, m.Inc, now)
 		}
-		if idle := now.Sub(p.lastReport); idle > forgetAfter || (idle > resignAfter && n.ownerOf(id) != n.set.ID) {
+		if idle := now.Sub(p.lastReport); idle > idlePoolTTL || (idle > resignTimeout && n.schedulerOf(id) != n.set.ID) {
 			delete(n.pools, id)
 		}
 	}
@@ -179,22 +179,22 @@
 	}
 	rows := n.entry.Served()
 	for _, r := range rows {
-		n.led.Merge(n.set.ID, n.set.Inc, r.Org, r.Norm)
+		n.led.Merge(n.set.ID, n.set.Inc, r.Org, r.NormService)
 	}
 	to := map[wire.NodeID]map[version.ID]wire.LedgerRow{}
-	for _, pool := range n.entry.FullPools() {
-		for _, owner := range n.ownersOf(pool) {
-			n.ledgerFor(to, owner, pool, rows)
+	for _, pool := range n.entry.SaturatedPools() {
+		for _, owner := range n.schedulersOf(pool) {
+			n.addLedgerRows(to, owner, pool, rows)
 		}
 	}
 	delete(to, n.set.ID)
 	for _, id := range slices.Sorted(maps.Keys(to)) {
-		n.box.To(id).Ledger = &wire.Ledger{Rows: sortedRows(to[id])}
+		n.outbox.To(id).Ledger = &wire.Ledger{Rows: sortedRows(to[id])}
 	}
 }
 
-// ledgerFor adds the rows of the organisations that may use the pool.
-func (n *Node) ledgerFor(to map[wire.NodeID]map[version.ID]wire.LedgerRow, id wire.NodeID, pool version.ID, rows []wire.LedgerRow) {
+// addLedgerRows adds the rows of the organisations that may use the pool.
+func (n *Node) addLedgerRows(to map[wire.NodeID]map[version.ID]wire.LedgerRow, id wire.NodeID, pool version.ID, rows []wire.LedgerRow) {
 	if to[id] == nil {
 		to[id] = map[version.ID]wire.LedgerRow{}
 	}
@@ -219,21 +219,21 @@
 // would follow: offsets, and the cells of routers that are gone.
 func (n *Node) copyPools() {
 	for _, id := range n.poolIDs() {
-		follower := n.follower(id)
-		if follower == "" {
+		standby := n.standby(id)
+		if standby == "" {
 			continue
 		}
 		s := wire.PoolState{Pool: id, Offsets: n.pools[id].Offsets(), Cells: n.deadCells()}
 		if len(s.Offsets)+len(s.Cells) == 0 {
 			continue
 		}
-		d := n.box.To(follower)
-		d.States = append(d.States, s)
+		d := n.outbox.To(standby)
+		d.PoolStates = append(d.PoolStates, s)
 	}
 }
 
-func (n *Node) follower(pool version.ID) wire.NodeID {
-	for _, id := range n.ownersOf(pool) {
+func (n *Node) standby(pool version.ID) wire.NodeID {
+	for _, id := range n.schedulersOf(pool) {
 		if id != n.set.ID {
 			return id
 		}
@@ -249,18 +249,18 @@
 			all = append(all, n.led.Cells(m.ID)...)
 		}
 	}
-	if len(all) <= copiesPerSend {
+	if len(all) <= maxCellsPerCopy {
 		return all
 	}
-	from := n.copyFrom % len(all)
-	n.copyFrom += copiesPerSend
-	return all[from:min(from+copiesPerSend, len(all))]
+	from := n.nextCell % len(all)
+	n.nextCell += maxCellsPerCopy
+	return all[from:min(from+maxCellsPerCopy, len(all))]
 }
 
 // adopt takes a scheduler's copy.
-func (n *Node) adopt(s *wire.PoolState, now time.Time) {
+func (n *Node) adoptPoolState(s *wire.PoolState, now time.Time) {
 	for _, c := range s.Cells {
-		n.led.Merge(c.Node, c.Inc, c.Org, c.Norm)
+		n.led.Merge(c.Node, c.Inc, c.Org, c.NormService)
 	}
 	m := n.offsets[s.Pool]
 	if m == nil {
@@ -268,7 +268,7 @@
 		n.offsets[s.Pool] = m
 	}
 	for _, o := range s.Offsets {
-		m[o.Org] = max(m[o.Org], o.Norm)
+		m[o.Org] = max(m[o.Org], o.NormService)
 	}
 	if p := n.pools[s.Pool]; p != nil {
 		p.Adopt(s.Offsets, now)
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -15,7 +15,7 @@
 // Choosing a pool's schedulers sorted the membership's own list of live routers, which others
 // search as a list by name: after a scheduler had died, routers that live were missing from
 // it, and the pool's slots idled.
-func TestChoosingSchedulersLeavesTheListOfRoutersAlone(t *testing.T) {
+func TestRankingRoutersDoesNotReorderLiveList(t *testing.T) {
 	now := time.Unix(0, 0)
 	n := New(Settings{ID: "10.0.0.0:1", Inc: 1, Place: "a", Sched: DefaultSched()}, now)
 	n.ver = &version.Version{}
@@ -23,7 +23,7 @@
 		n.Step(Receive{Datagram: &wire.Datagram{From: wire.NodeID(fmt.Sprintf("10.0.0.%d:1", i+1)), Inc: 1}}, now)
 	}
 	for pool := range version.ID(5) {
-		n.rank(pool + 1)
+		n.rankRouters(pool + 1)
 		assert.True(t, slices.IsSorted(n.members.Live(false)))
 		assert.Len(t, n.members.Live(false), 21)
 	}
--- a/internal/core/quarantine/crash.go
+++ b/internal/core/quarantine/crash.go
@@ -9,29 +9,29 @@
 
 // Crash is one upstream that crashed while it ran a request.
 type Crash struct {
-	Up    version.ID // names the crash: the same at all routers
-	Early bool       // the answer had no event yet
-	Began time.Time  // of the attempt
-	At    time.Time
+	Upstream version.ID // names the crash: the same at all routers
+	Early    bool       // the answer had no event yet
+	Began    time.Time  // of the attempt
+	At       time.Time
 }
 
-// sameMoment is how much before the crash before an attempt may seem to have begun that
+// crashTolerance is how much before the crash before an attempt may seem to have begun that
 // was sent after it: routers tell each other in milliseconds, and hear each other late.
-const sameMoment = 20 * time.Millisecond
+const crashTolerance = 20 * time.Millisecond
 
-// joinCrash adds a crash to those known, which are sorted by time, and reports whether
+// mergeCrash adds a crash to those known, which are sorted by time, and reports whether
 // there was news in it. What was known first of a crash stays, so that routers which tell
 // each other again and again come to rest.
-func joinCrash(known []Crash, c Crash) ([]Crash, bool) {
+func mergeCrash(known []Crash, c Crash) ([]Crash, bool) {
 	for i := range known {
-		if known[i].Up != c.Up {
+		if known[i].Upstream != c.Upstream {
 			continue
 		}
 		news := c.Early && !known[i].Early
 		known[i].Early = known[i].Early || c.Early
 		return known, news
 	}
-	if len(known) >= maxCrashes {
+	if len(known) >= maxCrashesPerRequest {
 		return known, false
 	}
 	known = append(known, c)
@@ -47,7 +47,7 @@
 	count, early := 0, 0
 	var before time.Time
 	for _, c := range crashes {
-		if count > 0 && c.Began.Before(before.Add(-sameMoment)) {
+		if count > 0 && c.Began.Before(before.Add(-crashTolerance)) {
 			continue
 		}
 		count++
@@ -57,9 +57,9 @@
 		before = c.At
 	}
 	switch {
-	case count >= HoldAfter:
-		return levelLong + count - HoldAfter
-	case early >= HoldAfter-1:
+	case count >= HoldAfterCrashes:
+		return levelLong + count - HoldAfterCrashes
+	case early >= HoldAfterCrashes-1:
 		return levelBrief
 	}
 	return levelNone
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -22,44 +22,44 @@
 )
 
 const (
-	// HoldAfter is the number of crashes, one after the other, from which a request is held
+	// HoldAfterCrashes is the number of crashes, one after the other, from which a request is held
 	// for long. Two prove too little where an answer had begun: a stream that is resumed
 	// when its upstream crashes meets another crash by chance.
-	HoldAfter = 3
-	// holdFor is how long a request is held then, and twice as long after each crash more:
+	HoldAfterCrashes = 3
+	// holdDuration is how long a request is held then, and twice as long after each crash more:
 	// every time that it is tried again may cost an upstream.
-	holdFor = 10 * time.Minute
-	maxHold = 2 * time.Hour
-	// holdBriefly is how long it is held after two crashes that both came before the
+	holdDuration    = 10 * time.Minute
+	maxHoldDuration = 2 * time.Hour
+	// briefHoldDuration is how long it is held after two crashes that both came before the
 	// answer's first event: what ends an upstream when it begins to run has had none, of
 	// the sound requests beside it few have not. It is longer than a caller's tries last.
 	// (TestRacksThatLosePowerCondemnFewSoundRequests has the figures.)
-	holdBriefly = 30 * time.Second
-	// suspectFor is how long crashes are remembered that hold nothing, or no longer.
-	suspectFor = 10 * time.Minute
+	briefHoldDuration = 30 * time.Second
+	// suspicionTTL is how long crashes are remembered that hold nothing, or no longer.
+	suspicionTTL = 10 * time.Minute
 	// maxEntries bounds the requests remembered. A crash makes tens of them: this holds
-	// what 40 crashes with 50 requests each leave within suspectFor.
+	// what 40 crashes with 50 requests each leave within suspicionTTL.
 	maxEntries = 2000
-	// maxCrashes bounds the crashes remembered of one request: more than what holds it
+	// maxCrashesPerRequest bounds the crashes remembered of one request: more than what holds it
 	// longest are of no use.
-	maxCrashes = 8
+	maxCrashesPerRequest = 8
 )
 
 // List is what one router knows. Its methods must be called by one goroutine.
 type List struct {
-	entries map[fingerprint.Fingerprint]*entry
-	changed bool // since View was called
-	sum     uint64
-	summed  bool // sum holds: every regular message tells it
+	entries  map[fingerprint.Fingerprint]*entry
+	changed  bool // since View was called
+	sum      uint64
+	sumValid bool // sum holds: every regular message tells it
 }
 
 type entry struct {
-	org     version.ID
-	answers uint32  // whole ones that were told of: they clear what was before
-	crashes []Crash // since then, by time
-	level   int     // that they hold the request at; it never falls without an answer
-	held    bool    // it is, or was before an answer, held
-	last    time.Time
+	org       version.ID
+	answers   uint32  // whole ones that were told of: they clear what was before
+	crashes   []Crash // since then, by time
+	level     int     // that they hold the request at; it never falls without an answer
+	held      bool    // it is, or was before an answer, held
+	lastCrash time.Time
 }
 
 // New returns an empty list.
@@ -78,28 +78,28 @@
 	case levelNone:
 		return 0
 	case levelBrief:
-		return holdBriefly
+		return briefHoldDuration
 	}
-	return min(holdFor<<(e.level-levelLong), maxHold)
+	return min(holdDuration<<(e.level-levelLong), maxHoldDuration)
 }
 
 // forgotten reports whether the entry says nothing any more. A request that was held is
 // remembered as long again after it: the next crash holds it at once.
-func (e *entry) forgotten(now time.Time) bool {
-	return now.Sub(e.last) >= max(suspectFor, 2*e.hold())
+func (e *entry) expired(now time.Time) bool {
+	return now.Sub(e.lastCrash) >= max(suspicionTTL, 2*e.hold())
 }
 
 // Crashed notes that an upstream crashed while it ran a request. It reports whether that
 // is news.
-func (l *List) Crashed(f fingerprint.Fingerprint, org version.ID, c Crash) bool {
+func (l *List) AddCrash(f fingerprint.Fingerprint, org version.ID, c Crash) bool {
 	e := l.entry(f, org)
-	return l.settle(e, e.join(c), c.At)
+	return l.settle(e, e.addCrash(c), c.At)
 }
 
 // join adds a crash, and reports whether there was news in it.
-func (e *entry) join(c Crash) bool {
+func (e *entry) addCrash(c Crash) bool {
 	var news bool
-	e.crashes, news = joinCrash(e.crashes, c)
+	e.crashes, news = mergeCrash(e.crashes, c)
 	e.level = max(e.level, levelOf(e.crashes))
 	return news
 }
@@ -112,7 +112,7 @@
 		return false
 	}
 	e.clear(e.answers + 1)
-	l.touch()
+	l.markChanged()
 	return true
 }
 
@@ -120,7 +120,7 @@
 func (e *entry) clear(answers uint32) { e.answers, e.crashes, e.level = answers, nil, levelNone }
 
 // Join takes what another router knows. It reports whether there was news in it.
-func (l *List) Join(w wire.CrashRecord, now time.Time) bool {
+func (l *List) Merge(w wire.CrashRecord, now time.Time) bool {
 	e := l.entry(fingerprint.Fingerprint(w.Content), w.Org)
 	at := ago(now, w.AgeMS)
 	news := w.Held && !e.held
@@ -133,7 +133,7 @@
 		news = true
 	}
 	for _, c := range w.Crashes {
-		more := e.join(Crash{Up: c.Up, Early: c.Early, Began: ago(now, c.BeganMS), At: ago(now, c.AgeMS)})
+		more := e.addCrash(Crash{Upstream: c.Upstream, Early: c.Early, Began: ago(now, c.AttemptAgeMS), At: ago(now, c.AgeMS)})
 		news = news || more
 	}
 	if int(w.Level) > e.level {
@@ -147,7 +147,7 @@
 	e := l.entries[f]
 	if e == nil {
 		e = &entry{org: org}
-		l.makeRoom()
+		l.evictIfFull()
 		l.entries[f] = e
 	}
 	return e
@@ -155,23 +155,23 @@
 
 // settle ends a change of an entry, and reports whether it was one.
 func (l *List) settle(e *entry, news bool, at time.Time) bool {
-	if at.After(e.last) {
-		e.last = at
+	if at.After(e.lastCrash) {
+		e.lastCrash = at
 	}
 	e.held = e.held || e.level > levelNone
 	if news {
-		l.touch()
+		l.markChanged()
 	}
 	return news
 }
 
 // touch notes that something has changed.
-func (l *List) touch() { l.changed, l.summed = true, false }
+func (l *List) markChanged() { l.changed, l.sumValid = true, false }
 
-// makeRoom forgets one entry when the list is full: of the organisation that has most of
+// evictIfFull forgets one entry when the list is full: of the organisation that has most of
 // them, so that one that sends a new deadly request each time displaces its own; of these
 // the one with the fewest crashes, the oldest first.
-func (l *List) makeRoom() {
+func (l *List) evictIfFull() {
 	if len(l.entries) < maxEntries {
 		return
 	}
@@ -189,20 +189,20 @@
 			continue
 		}
 		o := l.entries[least]
-		if o == nil || cmp.Or(cmp.Compare(e.level, o.level), cmp.Compare(len(e.crashes), len(o.crashes)), e.last.Compare(o.last), cmp.Compare(f, least)) < 0 {
+		if o == nil || cmp.Or(cmp.Compare(e.level, o.level), cmp.Compare(len(e.crashes), len(o.crashes)), e.lastCrash.Compare(o.lastCrash), cmp.Compare(f, least)) < 0 {
 			least = f
 		}
 	}
 	delete(l.entries, least)
-	l.touch()
+	l.markChanged()
 }
 
 // Expire forgets what says nothing any more.
 func (l *List) Expire(now time.Time) {
 	for f, e := range l.entries {
-		if e.forgotten(now) {
+		if e.expired(now) {
 			delete(l.entries, f)
-			l.touch()
+			l.markChanged()
 		}
 	}
 }
@@ -224,7 +224,7 @@
 func (e *entry) state() State {
 	s := State{Crashes: len(e.crashes)}
 	if hold := e.hold(); hold > 0 {
-		s.Until = e.last.Add(hold)
+		s.Until = e.lastCrash.Add(hold)
 	}
 	return s
 }
@@ -263,26 +263,26 @@
 }
 
 // Told returns what is known of one request as it is told to other routers.
-func (l *List) Told(f fingerprint.Fingerprint, now time.Time) (wire.CrashRecord, bool) {
+func (l *List) Record(f fingerprint.Fingerprint, now time.Time) (wire.CrashRecord, bool) {
 	e := l.entries[f]
 	if e == nil {
 		return wire.CrashRecord{}, false
 	}
-	w := wire.CrashRecord{Content: uint64(f), Org: e.org, Answers: e.answers, Level: uint8(e.level), Held: e.held, AgeMS: ageMS(now, e.last)}
+	w := wire.CrashRecord{Content: uint64(f), Org: e.org, Answers: e.answers, Level: uint8(e.level), Held: e.held, AgeMS: ageMS(now, e.lastCrash)}
 	for _, c := range e.crashes {
-		w.Crashes = append(w.Crashes, wire.Crash{Up: c.Up, Early: c.Early, BeganMS: ageMS(now, c.Began), AgeMS: ageMS(now, c.At)})
+		w.Crashes = append(w.Crashes, wire.Crash{Upstream: c.Upstream, Early: c.Early, AttemptAgeMS: ageMS(now, c.Began), AgeMS: ageMS(now, c.At)})
 	}
 	return w, true
 }
 
 // Decided returns the requests that are, or were, held, the latest crash first.
-func (l *List) Decided(now time.Time) []wire.CrashRecord {
+func (l *List) HeldRecords(now time.Time) []wire.CrashRecord {
 	var out []wire.CrashRecord
 	for f, e := range l.entries {
 		if !e.held {
 			continue
 		}
-		w, _ := l.Told(f, now)
+		w, _ := l.Record(f, now)
 		out = append(out, w)
 	}
 	slices.SortFunc(out, func(a, b wire.CrashRecord) int {
@@ -293,17 +293,17 @@
 
 // spread is an odd number that spreads small ones over 64 bits (golden ratio; Knuth, The
 // Art of Computer Programming 3, 6.4).
-const spread = 0x9E3779B97F4A7C15
+const goldenRatio64 = 0x9E3779B97F4A7C15
 
 // Sum is the same at two routers that hold, and held, the same requests.
-func (l *List) Sum() uint64 {
-	if l.summed {
+func (l *List) Checksum() uint64 {
+	if l.sumValid {
 		return l.sum
 	}
-	l.sum, l.summed = 0, true
+	l.sum, l.sumValid = 0, true
 	for f, e := range l.entries {
 		if e.held {
-			l.sum ^= (uint64(f) + uint64(e.level)) * spread
+			l.sum ^= (uint64(f) + uint64(e.level)) * goldenRatio64
 		}
 	}
 	return l.sum
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -21,24 +21,24 @@
 
 // crash is one under an attempt that began when the crash before had come.
 func crash(up version.ID, early bool, at time.Time) Crash {
-	return Crash{Up: up, Early: early, Began: at, At: at}
+	return Crash{Upstream: up, Early: early, Began: at, At: at}
 }
 
 func held(l *List, f fingerprint.Fingerprint, now time.Time) bool { return l.State(f).Held(now) > 0 }
 
-func TestThreeCrashesHoldARequest(t *testing.T) {
+func TestThreeCrashesHoldRequest(t *testing.T) {
 	l := New()
 	for up := range version.ID(3) {
 		assert.False(t, held(l, 7, start))
-		assert.True(t, l.Crashed(7, alpha, crash(10+up, false, start)))
-		assert.False(t, l.Crashed(7, alpha, crash(10+up, false, start)), "an upstream ends once")
+		assert.True(t, l.AddCrash(7, alpha, crash(10+up, false, start)))
+		assert.False(t, l.AddCrash(7, alpha, crash(10+up, false, start)), "an upstream ends once")
 	}
 	assert.True(t, held(l, 7, start))
 	assert.False(t, held(l, 8, start))
 }
 
 // What ends an upstream when it begins to run has had no event; two such crashes hold it.
-func TestTwoEarlyCrashesHoldARequest(t *testing.T) {
+func TestTwoEarlyCrashesHoldRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		early []bool
 		held  bool
@@ -51,7 +51,7 @@
 	} {
 		l := New()
 		for up, early := range c.early {
-			l.Crashed(7, alpha, crash(version.ID(10+up), early, start))
+			l.AddCrash(7, alpha, crash(version.ID(10+up), early, start))
 		}
 		assert.Equal(t, c.held, held(l, 7, start), name)
 	}
@@ -61,87 +61,87 @@
 // caller tries, and then the third is its trial.
 func TestTwoEarlyCrashesHoldBriefly(t *testing.T) {
 	l := New()
-	l.Crashed(7, alpha, crash(10, true, start))
-	l.Crashed(7, alpha, crash(11, true, start))
-	assert.True(t, held(l, 7, start.Add(holdBriefly-time.Second)))
-	now := start.Add(holdBriefly)
+	l.AddCrash(7, alpha, crash(10, true, start))
+	l.AddCrash(7, alpha, crash(11, true, start))
+	assert.True(t, held(l, 7, start.Add(briefHoldDuration-time.Second)))
+	now := start.Add(briefHoldDuration)
 	assert.False(t, held(l, 7, now))
-	l.Crashed(7, alpha, crash(12, true, now))
-	assert.True(t, held(l, 7, now.Add(holdFor-time.Second)))
+	l.AddCrash(7, alpha, crash(12, true, now))
+	assert.True(t, held(l, 7, now.Add(holdDuration-time.Second)))
 }
 
 // A rack loses power: what ran at several of its upstreams crashed once.
-func TestUpstreamsThatGoTogetherAreOneCrash(t *testing.T) {
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	l := New()
 	for up := range version.ID(5) {
-		l.Crashed(7, alpha, Crash{Up: up, Early: true, Began: start.Add(-time.Second), At: start.Add(time.Duration(up) * time.Millisecond)})
+		l.AddCrash(7, alpha, Crash{Upstream: up, Early: true, Began: start.Add(-time.Second), At: start.Add(time.Duration(up) * time.Millisecond)})
 	}
 	assert.False(t, held(l, 7, start))
-	l.Crashed(7, alpha, crash(20, true, start.Add(10*time.Millisecond)))
+	l.AddCrash(7, alpha, crash(20, true, start.Add(10*time.Millisecond)))
 	assert.True(t, held(l, 7, start.Add(time.Second)), "an attempt that was sent after it is another one")
 }
 
 // Two attempts at one upstream, one of which had an event: it is one crash, an early one.
-func TestCrashThatIsSeenTwiceIsAsEarlyAsEither(t *testing.T) {
+func TestCrashIsEarlyIfAnyRouterSawItEarly(t *testing.T) {
 	a, b := New(), New()
 	for up := range version.ID(2) {
-		a.Crashed(7, alpha, crash(10+up, up == 0, start))
-		b.Crashed(7, alpha, crash(10+up, up == 1, start))
+		a.AddCrash(7, alpha, crash(10+up, up == 0, start))
+		b.AddCrash(7, alpha, crash(10+up, up == 1, start))
 	}
 	assert.False(t, held(a, 7, start))
-	w, _ := b.Told(7, start)
-	assert.True(t, a.Join(w, start))
+	w, _ := b.Record(7, start)
+	assert.True(t, a.Merge(w, start))
 	assert.True(t, held(a, 7, start))
 	assert.Equal(t, 2, a.State(7).Crashes)
 }
 
-func TestWholeAnswerClearsWhatWasBefore(t *testing.T) {
+func TestWholeAnswerClearsEarlierCrashes(t *testing.T) {
 	l := New()
-	l.Crashed(7, alpha, crash(10, false, start))
-	l.Crashed(7, alpha, crash(11, false, start))
+	l.AddCrash(7, alpha, crash(10, false, start))
+	l.AddCrash(7, alpha, crash(11, false, start))
 	assert.True(t, l.Answered(7))
 	assert.False(t, l.Answered(7), "there is nothing left to clear")
-	l.Crashed(7, alpha, crash(12, false, start))
-	l.Crashed(7, alpha, crash(13, false, start))
+	l.AddCrash(7, alpha, crash(12, false, start))
+	l.AddCrash(7, alpha, crash(13, false, start))
 	assert.False(t, held(l, 7, start))
-	l.Crashed(7, alpha, crash(14, false, start))
+	l.AddCrash(7, alpha, crash(14, false, start))
 	assert.True(t, held(l, 7, start))
 }
 
 // Every lapse may cost an upstream: after it one more crash holds the request again, for
 // twice as long.
-func TestHoldLapsesAndTheNextCrashHoldsLonger(t *testing.T) {
+func TestCrashAfterExpiredHoldHoldsLonger(t *testing.T) {
 	l := New()
 	for up := range version.ID(3) {
-		l.Crashed(7, alpha, crash(10+up, false, start))
+		l.AddCrash(7, alpha, crash(10+up, false, start))
 	}
-	assert.True(t, held(l, 7, start.Add(holdFor-time.Second)))
-	now := start.Add(holdFor)
+	assert.True(t, held(l, 7, start.Add(holdDuration-time.Second)))
+	now := start.Add(holdDuration)
 	l.Expire(now)
 	assert.False(t, held(l, 7, now), "one is let through to see whether the upstreams were mended")
-	l.Crashed(7, alpha, crash(20, false, now))
-	assert.True(t, held(l, 7, now.Add(2*holdFor-time.Second)))
-	assert.False(t, held(l, 7, now.Add(2*holdFor)))
-	l.Expire(now.Add(4 * holdFor))
+	l.AddCrash(7, alpha, crash(20, false, now))
+	assert.True(t, held(l, 7, now.Add(2*holdDuration-time.Second)))
+	assert.False(t, held(l, 7, now.Add(2*holdDuration)))
+	l.Expire(now.Add(4 * holdDuration))
 	assert.Zero(t, l.Len())
 }
 
-func TestFewerCrashesAreForgotten(t *testing.T) {
+func TestTooFewCrashesExpire(t *testing.T) {
 	l := New()
-	l.Crashed(7, alpha, crash(10, false, start))
-	l.Crashed(7, alpha, crash(11, false, start))
-	l.Expire(start.Add(suspectFor))
+	l.AddCrash(7, alpha, crash(10, false, start))
+	l.AddCrash(7, alpha, crash(11, false, start))
+	l.Expire(start.Add(suspicionTTL))
 	assert.Zero(t, l.Len())
 }
 
-func TestOneOrganisationDisplacesOnlyItsOwn(t *testing.T) {
+func TestEvictionStaysWithinOneOrganisation(t *testing.T) {
 	l := New()
 	for up := range version.ID(3) {
-		l.Crashed(7, beta, crash(10+up, false, start))
-		l.Crashed(8, alpha, crash(10+up, false, start))
+		l.AddCrash(7, beta, crash(10+up, false, start))
+		l.AddCrash(8, alpha, crash(10+up, false, start))
 	}
 	for i := range 2 * maxEntries {
-		l.Crashed(fingerprint.Fingerprint(100+i), alpha, crash(50, false, start.Add(time.Duration(i)*time.Millisecond)))
+		l.AddCrash(fingerprint.Fingerprint(100+i), alpha, crash(50, false, start.Add(time.Duration(i)*time.Millisecond)))
 	}
 	assert.Equal(t, maxEntries, l.Len())
 	assert.True(t, held(l, 7, start))
@@ -151,28 +151,28 @@
 
 // A request that many send is on upstreams that crash by chance again and again, and is
 // answered in between. When it comes to be deadly it is held like any other.
-func TestManyCrashesByChanceHideNothing(t *testing.T) {
+func TestClearedCrashesDoNotMaskLaterOnes(t *testing.T) {
 	l := New()
-	for up := range version.ID(3 * maxCrashes) {
-		l.Crashed(7, alpha, crash(1000-up, false, start))
+	for up := range version.ID(3 * maxCrashesPerRequest) {
+		l.AddCrash(7, alpha, crash(1000-up, false, start))
 		l.Answered(7)
 	}
 	for up := range version.ID(3) {
-		l.Crashed(7, alpha, crash(2000+up, false, start))
+		l.AddCrash(7, alpha, crash(2000+up, false, start))
 	}
 	assert.True(t, held(l, 7, start))
 }
 
-func TestViewIsMadeAnewOnlyWhenSomethingChanged(t *testing.T) {
+func TestViewIsReturnedOnlyAfterChange(t *testing.T) {
 	l := New()
 	_, changed := l.View()
 	assert.False(t, changed)
-	l.Crashed(7, alpha, crash(10, false, start))
+	l.AddCrash(7, alpha, crash(10, false, start))
 	view, changed := l.View()
 	assert.True(t, changed)
 	assert.Equal(t, 1, view[alpha][7].Crashes)
 	assert.Empty(t, view[beta])
-	l.Crashed(7, alpha, crash(10, false, start))
+	l.AddCrash(7, alpha, crash(10, false, start))
 	_, changed = l.View()
 	assert.False(t, changed)
 	l.Answered(7)
@@ -183,7 +183,7 @@
 
 // Whatever routers see, and in whichever order and however often they tell each other,
 // they come to know the same.
-func TestRoutersThatToldEachOtherAllKnowTheSame(t *testing.T) {
+func TestListsConvergeAfterExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 3
 		var lists [routers]*List
@@ -192,8 +192,8 @@
 		}
 		tell := func(from, to int) {
 			for f := range lists[from].entries {
-				w, _ := lists[from].Told(f, start)
-				lists[to].Join(w, start)
+				w, _ := lists[from].Record(f, start)
+				lists[to].Merge(w, start)
 			}
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -205,7 +205,7 @@
 			case 1:
 				tell(at, rapid.IntRange(0, routers-1).Draw(t, "to"))
 			default:
-				lists[at].Crashed(f, alpha, crash(version.ID(rapid.IntRange(1, 12).Draw(t, "upstream")), rapid.Bool().Draw(t, "early"), start))
+				lists[at].AddCrash(f, alpha, crash(version.ID(rapid.IntRange(1, 12).Draw(t, "upstream")), rapid.Bool().Draw(t, "early"), start))
 			}
 		}
 		for range 2 {
@@ -216,8 +216,8 @@
 			}
 		}
 		for i := 1; i < routers; i++ {
-			if lists[i].Sum() != lists[0].Sum() {
-				t.Fatalf("sums differ: %d, %d", lists[i].Sum(), lists[0].Sum())
+			if lists[i].Checksum() != lists[0].Checksum() {
+				t.Fatalf("sums differ: %d, %d", lists[i].Checksum(), lists[0].Checksum())
 			}
 			for f := range fingerprint.Fingerprint(4) {
 				if a, b := lists[0].State(f), lists[i].State(f); a != b {
@@ -229,34 +229,34 @@
 }
 
 // The sum tells apart what is held from what was cleared.
-func TestSumIsOfWhatIsHeld(t *testing.T) {
+func TestChecksumCoversHeldRequests(t *testing.T) {
 	a, b := New(), New()
 	for up := range version.ID(3) {
-		a.Crashed(7, alpha, crash(10+up, false, start))
-		b.Crashed(7, alpha, crash(20+up, false, start))
+		a.AddCrash(7, alpha, crash(10+up, false, start))
+		b.AddCrash(7, alpha, crash(20+up, false, start))
 	}
-	assert.Equal(t, a.Sum(), b.Sum(), "both hold it: which upstreams ended matters to neither")
-	assert.NotZero(t, a.Sum())
+	assert.Equal(t, a.Checksum(), b.Checksum(), "both hold it: which upstreams ended matters to neither")
+	assert.NotZero(t, a.Checksum())
 	b.Answered(7)
-	assert.NotEqual(t, a.Sum(), b.Sum())
-	for _, w := range b.Decided(start) {
-		a.Join(w, start)
+	assert.NotEqual(t, a.Checksum(), b.Checksum())
+	for _, w := range b.HeldRecords(start) {
+		a.Merge(w, start)
 	}
-	for _, w := range a.Decided(start) {
-		b.Join(w, start)
+	for _, w := range a.HeldRecords(start) {
+		b.Merge(w, start)
 	}
-	assert.Equal(t, a.Sum(), b.Sum())
+	assert.Equal(t, a.Checksum(), b.Checksum())
 	assert.Equal(t, a.State(7), b.State(7))
 	assert.False(t, held(a, 7, start), "what is answered whole anywhere ends no upstream")
 }
 
-func TestAgeIsTakenFromTheTeller(t *testing.T) {
-	age := uint32((holdFor - time.Second).Milliseconds())
+func TestAgeIsTakenFromSender(t *testing.T) {
+	age := uint32((holdDuration - time.Second).Milliseconds())
 	record := wire.CrashRecord{Content: 7, Org: alpha, AgeMS: age}
 	for up := range version.ID(3) {
-		record.Crashes = append(record.Crashes, wire.Crash{Up: up, BeganMS: age, AgeMS: age})
+		record.Crashes = append(record.Crashes, wire.Crash{Upstream: up, AttemptAgeMS: age, AgeMS: age})
 	}
 	l := New()
-	l.Join(record, start)
+	l.Merge(record, start)
 	assert.Equal(t, time.Second, l.State(7).Held(start))
 }
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// doubtFor is how long the end of an upstream is set down to attempts before it: its
+	// suspectAttemptTTL is how long the end of an upstream is set down to attempts before it: its
 	// entry goes after three missing heartbeats of 1.2 s, and a little for the news.
-	doubtFor = 5 * time.Second
-	// maxDoubts bounds the doubts at one upstream: it runs at most 64 requests at once.
-	maxDoubts = 256
-	// endedFor is how long an upstream's end is remembered, for attempts there whose
+	suspectAttemptTTL = 5 * time.Second
+	// maxSuspectAttempts bounds the doubts at one upstream: it runs at most 64 requests at once.
+	maxSuspectAttempts = 256
+	// endedTTL is how long an upstream's end is remembered, for attempts there whose
 	// connections have not told it yet: as long as a stream lasts.
-	endedFor = 30 * time.Second
-	// probeAgain is the least time between two looks at one upstream.
-	probeAgain = 200 * time.Millisecond
-	// tellTimes is how often a router tells its news of a request, tellAgain how long
+	endedTTL = 30 * time.Second
+	// probeInterval is the least time between two looks at one upstream.
+	probeInterval = 200 * time.Millisecond
+	// announceCount is how often a router tells its news of a request, announceInterval how long
 	// after each other: where three datagrams of a hundred are lost, 27 news of a million
 	// are.
-	tellTimes = 3
-	tellAgain = 100 * time.Millisecond
-	// mostTold bounds the requests told in one datagram, at 60 bytes each; mostHeld when
+	announceCount    = 3
+	announceInterval = 100 * time.Millisecond
+	// maxAnnounced bounds the requests told in one datagram, at 60 bytes each; maxHeldRecords when
 	// two routers join all that they hold.
-	mostTold = 64
-	mostHeld = 500
-	// joinAgain is the least time between two such exchanges of two routers.
-	joinAgain = time.Second
-	// expireEvery is how often what says nothing any more is forgotten.
-	expireEvery = time.Second
+	maxAnnounced   = 64
+	maxHeldRecords = 500
+	// exchangeInterval is the least time between two such exchanges of two routers.
+	exchangeInterval = time.Second
+	// expireInterval is how often what says nothing any more is forgotten.
+	expireInterval = time.Second
 )
 
 // Tracker finds out which attempts were running when an upstream crashed, and keeps the
@@ -44,20 +44,20 @@
 // cut, or given up by its caller. It becomes a crash once the upstream is known to have
 // ended. One goroutine owns a tracker.
 type Tracker struct {
-	self    wire.NodeID
-	list    *List
-	doubts  map[version.ID][]doubt   // by upstream
-	ended   map[version.ID]time.Time // crashes that are known
-	left    map[version.ID]time.Time // upstreams that were leaving, and have left
-	probed  map[version.ID]time.Time
-	news    map[fingerprint.Fingerprint]news
-	joined  map[wire.NodeID]time.Time // when all that is held was last told to a router
-	expire  time.Time
-	changes []Change
+	self      wire.NodeID
+	list      *List
+	suspects  map[version.ID][]suspectAttempt // by upstream
+	ended     map[version.ID]time.Time        // crashes that are known
+	left      map[version.ID]time.Time        // upstreams that were leaving, and have left
+	probed    map[version.ID]time.Time
+	pending   map[fingerprint.Fingerprint]pending
+	exchanged map[wire.NodeID]time.Time // when all that is held was last told to a router
+	expireAt  time.Time
+	changes   []Change
 }
 
 // doubt is an attempt that ended without a whole answer.
-type doubt struct {
+type suspectAttempt struct {
 	content fingerprint.Fingerprint
 	org     version.ID
 	early   bool // the answer had no event yet
@@ -66,9 +66,9 @@
 }
 
 // news is how often what has changed of a request is still to be told, and when next.
-type news struct {
-	left int
-	due  time.Time
+type pending struct {
+	remaining int
+	due       time.Time
 }
 
 // Change is a change of what is believed of a request, for the log.
@@ -83,14 +83,14 @@
 // NewTracker returns one of a router that knows nothing.
 func NewTracker(self wire.NodeID) *Tracker {
 	return &Tracker{
-		self:   self,
-		list:   New(),
-		doubts: map[version.ID][]doubt{},
-		ended:  map[version.ID]time.Time{},
-		left:   map[version.ID]time.Time{},
-		probed: map[version.ID]time.Time{},
-		news:   map[fingerprint.Fingerprint]news{},
-		joined: map[wire.NodeID]time.Time{},
+		self:      self,
+		list:      New(),
+		suspects:  map[version.ID][]suspectAttempt{},
+		ended:     map[version.ID]time.Time{},
+		left:      map[version.ID]time.Time{},
+		probed:    map[version.ID]time.Time{},
+		pending:   map[fingerprint.Fingerprint]pending{},
+		exchanged: map[wire.NodeID]time.Time{},
 	}
 }
 
@@ -120,15 +120,15 @@
 	if _, left := t.left[up]; left {
 		return false // its end was planned, and says nothing of what it still ran
 	}
-	d := doubt{a.Content, a.Org, a.Early, a.Began, now}
+	d := suspectAttempt{a.Content, a.Org, a.Early, a.Began, now}
 	if _, ended := t.ended[up]; ended {
-		t.crashed(up, d, now)
+		t.addCrash(up, d, now)
 		return false
 	}
-	if list := t.doubts[up]; len(list) < maxDoubts {
-		t.doubts[up] = append(list, d)
+	if list := t.suspects[up]; len(list) < maxSuspectAttempts {
+		t.suspects[up] = append(list, d)
 	}
-	if !a.Lost || now.Sub(t.probed[up]) < probeAgain {
+	if !a.Lost || now.Sub(t.probed[up]) < probeInterval {
 		return false
 	}
 	t.probed[up] = now
@@ -149,20 +149,20 @@
 		return 0, false
 	}
 	t.ended[crash] = now
-	for _, d := range t.doubts[up] {
-		if now.Sub(d.at) < doubtFor {
+	for _, d := range t.suspects[up] {
+		if now.Sub(d.at) < suspectAttemptTTL {
 			running++
-			t.crashed(crash, d, now)
+			t.addCrash(crash, d, now)
 		}
 	}
-	delete(t.doubts, up)
+	delete(t.suspects, up)
 	return running, true
 }
 
 // crashed sets an upstream's crash down to an attempt that was running there.
-func (t *Tracker) crashed(up version.ID, d doubt, now time.Time) {
+func (t *Tracker) addCrash(up version.ID, d suspectAttempt, now time.Time) {
 	before := t.list.State(d.content).Crashes
-	if t.list.Crashed(d.content, d.org, Crash{Up: up, Early: d.early, Began: d.began, At: d.at}) {
+	if t.list.AddCrash(d.content, d.org, Crash{Upstream: up, Early: d.early, Began: d.began, At: d.at}) {
 		t.changed(d.content, d.org, t.self, before, now)
 	}
 }
@@ -173,7 +173,7 @@
 	if !t.list.Answered(f) {
 		return
 	}
-	told, _ := t.list.Told(f, now)
+	told, _ := t.list.Record(f, now)
 	t.changed(f, told.Org, t.self, before, now)
 }
 
@@ -185,23 +185,23 @@
 		t.changes = append(t.changes, Change{Content: f, Org: org, Crashes: s.Crashes, Held: s.Held(now), From: from})
 	}
 	if from == t.self {
-		t.news[f] = news{left: tellTimes, due: now}
+		t.pending[f] = pending{remaining: announceCount, due: now}
 	}
 }
 
 // Tick forgets what is old, and returns what all routers are to be told now.
 func (t *Tracker) Tick(now time.Time) []wire.CrashRecord {
-	if !now.Before(t.expire) {
-		t.expire = now.Add(expireEvery)
+	if !now.Before(t.expireAt) {
+		t.expireAt = now.Add(expireInterval)
 		t.forget(now)
 	}
-	return t.takeNews(now)
+	return t.takePending(now)
 }
 
-// takeNews returns the news that are due, that with most crashes first.
-func (t *Tracker) takeNews(now time.Time) []wire.CrashRecord {
+// takePending returns the news that are due, that with most crashes first.
+func (t *Tracker) takePending(now time.Time) []wire.CrashRecord {
 	var due []fingerprint.Fingerprint
-	for f, w := range t.news {
+	for f, w := range t.pending {
 		if !now.Before(w.due) {
 			due = append(due, f)
 		}
@@ -210,12 +210,12 @@
 		return cmp.Or(cmp.Compare(t.list.State(b).Crashes, t.list.State(a).Crashes), cmp.Compare(a, b))
 	})
 	var out []wire.CrashRecord
-	for _, f := range due[:min(len(due), mostTold)] {
-		t.news[f] = news{left: t.news[f].left - 1, due: now.Add(tellAgain)}
-		if t.news[f].left == 0 {
-			delete(t.news, f)
+	for _, f := range due[:min(len(due), maxAnnounced)] {
+		t.pending[f] = pending{remaining: t.pending[f].remaining - 1, due: now.Add(announceInterval)}
+		if t.pending[f].remaining == 0 {
+			delete(t.pending, f)
 		}
-		if w, known := t.list.Told(f, now); known {
+		if w, known := t.list.Record(f, now); known {
 			out = append(out, w)
 		}
 	}
@@ -223,49 +223,49 @@
 }
 
 // Sum is the same at routers that hold the same requests.
-func (t *Tracker) Sum() uint64 { return t.list.Sum() }
+func (t *Tracker) Checksum() uint64 { return t.list.Checksum() }
 
 // Heard takes what another router tells. It returns an answer when the two do not hold
 // the same requests: one has just started, or there was a cut between them.
-func (t *Tracker) Heard(from wire.NodeID, c *wire.CrashNews, now time.Time) *wire.CrashNews {
+func (t *Tracker) HandleUpdate(from wire.NodeID, c *wire.CrashUpdate, now time.Time) *wire.CrashUpdate {
 	for _, w := range c.Records {
 		f := fingerprint.Fingerprint(w.Content)
 		before := t.list.State(f).Crashes
-		if t.list.Join(w, now) {
+		if t.list.Merge(w, now) {
 			t.changed(f, w.Org, from, before, now)
 		}
 	}
-	if !c.Stated || c.Sum == t.list.Sum() {
+	if !c.HasChecksum || c.Checksum == t.list.Checksum() {
 		return nil
 	}
-	if at, known := t.joined[from]; known && now.Sub(at) < joinAgain {
+	if at, known := t.exchanged[from]; known && now.Sub(at) < exchangeInterval {
 		return nil
 	}
-	t.joined[from] = now
-	return t.All(now)
+	t.exchanged[from] = now
+	return t.HeldUpdate(now)
 }
 
 // All returns all that is held, for a router that has just started or holds something
 // else.
-func (t *Tracker) All(now time.Time) *wire.CrashNews {
-	held := t.list.Decided(now)
-	return &wire.CrashNews{Records: held[:min(len(held), mostHeld)], Stated: true, Sum: t.list.Sum()}
+func (t *Tracker) HeldUpdate(now time.Time) *wire.CrashUpdate {
+	held := t.list.HeldRecords(now)
+	return &wire.CrashUpdate{Records: held[:min(len(held), maxHeldRecords)], HasChecksum: true, Checksum: t.list.Checksum()}
 }
 
 func (t *Tracker) forget(now time.Time) {
 	t.list.Expire(now)
-	for up, list := range t.doubts {
-		list = slices.DeleteFunc(list, func(d doubt) bool { return now.Sub(d.at) >= doubtFor })
-		t.doubts[up] = list
+	for up, list := range t.suspects {
+		list = slices.DeleteFunc(list, func(d suspectAttempt) bool { return now.Sub(d.at) >= suspectAttemptTTL })
+		t.suspects[up] = list
 		if len(list) == 0 {
-			delete(t.doubts, up)
+			delete(t.suspects, up)
 		}
 	}
-	old := func(_ version.ID, at time.Time) bool { return now.Sub(at) >= endedFor }
+	old := func(_ version.ID, at time.Time) bool { return now.Sub(at) >= endedTTL }
 	maps.DeleteFunc(t.ended, old)
 	maps.DeleteFunc(t.left, old)
 	maps.DeleteFunc(t.probed, old)
-	maps.DeleteFunc(t.joined, func(_ wire.NodeID, at time.Time) bool { return now.Sub(at) >= joinAgain })
+	maps.DeleteFunc(t.exchanged, func(_ wire.NodeID, at time.Time) bool { return now.Sub(at) >= exchangeInterval })
 }
 
 // HeldRequest is a request that is held, for status pages.
@@ -279,7 +279,7 @@
 // Held returns the requests that are held, the latest crash first.
 func (t *Tracker) Held(names map[version.ID]string, now time.Time) []HeldRequest {
 	out := []HeldRequest{}
-	for _, w := range t.list.Decided(now) {
+	for _, w := range t.list.HeldRecords(now) {
 		f := fingerprint.Fingerprint(w.Content)
 		s := t.list.State(f)
 		if left := s.Held(now); left > 0 {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -12,9 +12,9 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// claimComeBack is when a caller should try again after the witnesses were out
+// claimRetryAfter is when a caller should try again after the witnesses were out
 // of reach: membership and the VM list have had time to change.
-const claimComeBack = 5 * time.Second
+const claimRetryAfter = 5 * time.Second
 
 // arrive takes a request: with a key, to the witnesses first.
 func (n *Node) arrive(in Arrive, now time.Time) {
@@ -23,34 +23,34 @@
 		return
 	}
 	attempt := wire.Attempt{Node: n.set.ID, Inc: n.set.Inc, No: in.Request.ID}
-	a := &asking{ask: claim.NewAsk(*in.Key, attempt, n.members.Roster(), now), req: in.Request}
-	n.asks[in.Request.ID] = a
-	n.pursue(a, now)
+	a := &pendingProposal{proposal: claim.NewProposal(*in.Key, attempt, n.members.Roster(), now), req: in.Request}
+	n.proposals[in.Request.ID] = a
+	n.advanceProposal(a, now)
 }
 
 // pursue asks the witnesses that have not voted and acts on what is proved.
-func (n *Node) pursue(a *asking, now time.Time) {
-	for _, id := range a.ask.Due(now) {
-		d := n.box.To(id)
-		d.Claims = append(d.Claims, a.ask.Claim())
+func (n *Node) advanceProposal(a *pendingProposal, now time.Time) {
+	for _, id := range a.proposal.Due(now) {
+		d := n.outbox.To(id)
+		d.Claims = append(d.Claims, a.proposal.Claim())
 	}
-	switch a.ask.Result(now) {
+	switch a.proposal.Result(now) {
 	case claim.Held:
-		delete(n.asks, a.req.ID)
-		n.holds[a.req.ID] = a.ask
+		delete(n.proposals, a.req.ID)
+		n.heldClaims[a.req.ID] = a.proposal
 		n.entry.Arrive(a.req, now)
 	case claim.NotHeld:
 		n.refuseClaim(a, false)
-	case claim.InDoubt:
+	case claim.Indeterminate:
 		n.refuseClaim(a, true)
 	}
 }
 
-func (n *Node) refuseClaim(a *asking, doubt bool) {
-	delete(n.asks, a.req.ID)
-	n.sendRelease(a.ask)
-	verdict, _ := a.ask.Why()
-	n.out = append(n.out, Refuse{ID: a.req.ID, Reason: claimReason(verdict), After: claimComeBack, Doubt: doubt})
+func (n *Node) refuseClaim(a *pendingProposal, doubt bool) {
+	delete(n.proposals, a.req.ID)
+	n.sendRelease(a.proposal)
+	verdict, _ := a.proposal.Refusal()
+	n.out = append(n.out, Refuse{ID: a.req.ID, Reason: claimReason(verdict), RetryAfter: claimRetryAfter, Doubt: doubt})
 }
 
 func claimReason(v wire.Verdict) entry.Reason {
@@ -59,7 +59,7 @@
 		return entry.ReasonKeyTaken
 	case wire.VerdictExpired:
 		return entry.ReasonKeyExpired
-	case wire.VerdictCannot:
+	case wire.VerdictForgotten:
 		return entry.ReasonKeyForgotten
 	}
 	return entry.ReasonNoWitnesses
@@ -67,29 +67,29 @@
 
 // release frees the key of a request that was refused before it ran.
 func (n *Node) release(id uint64) {
-	if ask := n.holds[id]; ask != nil {
-		delete(n.holds, id)
+	if ask := n.heldClaims[id]; ask != nil {
+		delete(n.heldClaims, id)
 		n.sendRelease(ask)
 	}
 }
 
-func (n *Node) sendRelease(ask *claim.Ask) {
+func (n *Node) sendRelease(ask *claim.Proposal) {
 	c := ask.Claim()
 	c.Release = true
-	n.tellWitnesses(ask, c)
+	n.sendToWitnesses(ask, c)
 }
 
-func (n *Node) tellWitnesses(ask *claim.Ask, c wire.Claim) {
+func (n *Node) sendToWitnesses(ask *claim.Proposal, c wire.Claim) {
 	for _, id := range ask.Group() {
-		d := n.box.To(id)
+		d := n.outbox.To(id)
 		d.Claims = append(d.Claims, c)
 	}
 }
 
 func (n *Node) cancel(id uint64) {
-	if a := n.asks[id]; a != nil {
-		delete(n.asks, id)
-		n.sendRelease(a.ask)
+	if a := n.proposals[id]; a != nil {
+		delete(n.proposals, id)
+		n.sendRelease(a.proposal)
 		return
 	}
 	if n.entry.Cancel(id) {
@@ -100,40 +100,40 @@
 // finish ends a running request. Its key stays held: it may have run.
 func (n *Node) finish(in Finish, now time.Time) {
 	n.entry.Finish(in.ID, in.Units, in.Sample, now)
-	ask := n.holds[in.ID]
+	ask := n.heldClaims[in.ID]
 	if ask == nil {
 		return
 	}
-	delete(n.holds, in.ID)
+	delete(n.heldClaims, in.ID)
 	if in.Answered {
 		c := ask.Claim()
 		c.Done = true
-		n.tellWitnesses(ask, c)
+		n.sendToWitnesses(ask, c)
 	}
 }
 
-// hearClaims answers claims as a witness and takes votes as an asker.
-func (n *Node) hearClaims(d *wire.Datagram, now time.Time) {
+// handleClaims answers claims as a witness and takes votes as an asker.
+func (n *Node) handleClaims(d *wire.Datagram, now time.Time) {
 	for i := range d.Claims {
-		if v, answer := n.witness.Hear(&d.Claims[i], now); answer {
-			to := n.box.To(d.From)
+		if v, answer := n.witness.Handle(&d.Claims[i], now); answer {
+			to := n.outbox.To(d.From)
 			to.Votes = append(to.Votes, v)
 		}
 	}
 	for _, v := range d.Votes {
-		a := n.asks[v.Attempt.No]
+		a := n.proposals[v.Attempt.No]
 		if a == nil {
 			continue
 		}
-		a.ask.Vote(d.From, v)
-		n.pursue(a, now)
+		a.proposal.Vote(d.From, v)
+		n.advanceProposal(a, now)
 	}
 }
 
-func (n *Node) tickAsks(now time.Time) {
-	for _, id := range slices.Sorted(maps.Keys(n.asks)) {
-		if a := n.asks[id]; a != nil {
-			n.pursue(a, now)
+func (n *Node) tickProposals(now time.Time) {
+	for _, id := range slices.Sorted(maps.Keys(n.proposals)) {
+		if a := n.proposals[id]; a != nil {
+			n.advanceProposal(a, now)
 		}
 	}
 }
@@ -143,22 +143,22 @@
 func (n *Node) markDrain(id version.ID, how drain, now time.Time) {
 	d := n.drains[id]
 	if d == nil {
-		d = &drain{first: now}
+		d = &drain{learnedAt: now}
 		n.drains[id] = d
 		n.setDrain(id, true)
 		n.event("upstream-leaving", uint64(id), "")
 		if how.firstHand {
-			for _, peer := range n.members.Random(pushTo) {
-				n.box.To(peer)
+			for _, peer := range n.members.Random(pushFanout) {
+				n.outbox.To(peer)
 			}
 		}
 	}
-	d.renewed = now
+	d.renewedAt = now
 	d.firstHand = d.firstHand || how.firstHand
-	d.firm = d.firm || how.firm
+	d.persistent = d.persistent || how.persistent
 }
 
-func (n *Node) unmark(id version.ID) {
+func (n *Node) clearDrain(id version.ID) {
 	if n.drains[id] == nil {
 		return
 	}
@@ -174,19 +174,19 @@
 	}
 }
 
-func (n *Node) tickDrains(now time.Time) {
+func (n *Node) expireDrains(now time.Time) {
 	for id, d := range n.drains {
-		if !d.firm && now.Sub(d.renewed) > drainHold {
-			n.unmark(id)
+		if !d.persistent && now.Sub(d.renewedAt) > drainTTL {
+			n.clearDrain(id)
 		}
 	}
 }
 
-// drainsToTell lists the upstreams this node tells others of.
-func (n *Node) drainsToTell() []version.ID {
+// drainsToAnnounce lists the upstreams this node tells others of.
+func (n *Node) drainsToAnnounce() []version.ID {
 	var out []version.ID
 	for id, d := range n.drains {
-		if d.firstHand || n.lastTick.Sub(d.first) < drainSpread {
+		if d.firstHand || n.lastTick.Sub(d.learnedAt) < drainAnnounceDuration {
 			out = append(out, id)
 		}
 	}
--- a/internal/core/sched/plan.go
+++ b/internal/core/sched/plan.go
@@ -19,7 +19,7 @@
 // Plan gives free slots away and returns what to send: an answer to each report,
 // new grants, and grants not yet acknowledged.
 func (p *Pool) Plan(now time.Time) []Send {
-	p.at = now
+	p.plannedAt = now
 	p.reclaim(now)
 	if now.Sub(p.started) >= p.opt.Settle {
 		p.grantWaiting(now)
@@ -34,11 +34,11 @@
 func (p *Pool) reclaim(now time.Time) {
 	for _, id := range p.routerIDs() {
 		rt := p.routers[id]
-		if len(rt.out) == 0 || now.Sub(rt.heard) <= rt.longestLease()+leaseMargin {
+		if len(rt.out) == 0 || now.Sub(rt.reportedAt) <= rt.longestLease()+leaseMargin {
 			continue
 		}
 		for _, o := range rt.out {
-			p.end(o, now)
+			p.releaseGrant(o, now)
 		}
 		rt.out = nil
 		rt.reset = true
@@ -59,38 +59,38 @@
 // full when requests are left for which there is no slot: a request that comes to
 // a free slot is no backlog.
 func (p *Pool) grantWaiting(now time.Time) {
-	waiting := p.backlogged()
+	waiting := p.waitingAccounts()
 	rate := p.poolRate()
 	for len(waiting) > 0 {
 		a, up := p.next(waiting, rate)
 		if a == nil {
 			break
 		}
-		p.clock = max(p.clock, p.leastServed(waiting))
-		if !p.give(a, up, now) {
+		p.virtualTime = max(p.virtualTime, p.minServed(waiting))
+		if !p.grantOne(a, up, now) {
 			waiting = without(waiting, a)
 		}
 	}
-	p.judgeFull(now)
+	p.updateSaturation(now)
 }
 
-// judgeFull tells every router when the pool turns full, or free again.
-func (p *Pool) judgeFull(now time.Time) {
+// updateSaturation tells every router when the pool turns full, or free again.
+func (p *Pool) updateSaturation(now time.Time) {
 	for _, a := range p.accounts {
 		if a.org != 0 && a.waiting > a.pending {
-			p.waitedAt = now
+			p.backlogAt = now
 		}
 	}
-	if tight := now.Sub(p.waitedAt) < tightFor; tight != p.tight {
-		p.tight = tight
-		p.tellAll()
+	if saturated := now.Sub(p.backlogAt) < saturatedHold; saturated != p.saturated {
+		p.saturated = saturated
+		p.replyToAll()
 	}
 }
 
-// tellAll sends every router an answer now: the pool turned full, or free again.
-func (p *Pool) tellAll() {
+// replyToAll sends every router an answer now: the pool turned full, or free again.
+func (p *Pool) replyToAll() {
 	for _, rt := range p.routers {
-		rt.fresh = true
+		rt.sendNow = true
 	}
 }
 
@@ -104,7 +104,7 @@
 	return kept
 }
 
-func (p *Pool) backlogged() []*account {
+func (p *Pool) waitingAccounts() []*account {
 	var out []*account
 	for _, a := range p.accounts {
 		if a.org != 0 && a.waiting > 0 {
@@ -115,7 +115,7 @@
 	return out
 }
 
-func (p *Pool) leastServed(accounts []*account) float64 {
+func (p *Pool) minServed(accounts []*account) float64 {
 	least := p.served(accounts[0])
 	for _, a := range accounts[1:] {
 		least = min(least, p.served(a))
@@ -137,7 +137,7 @@
 		if best != nil && score >= bestScore {
 			continue
 		}
-		if up := p.freest(a); up != nil {
+		if up := p.leastLoaded(a); up != nil {
 			best, bestUp, bestScore = a, up, score
 		}
 	}
@@ -145,11 +145,11 @@
 }
 
 // freest returns the allowed upstream with the largest free part, or nil.
-func (p *Pool) freest(a *account) *upstream {
+func (p *Pool) leastLoaded(a *account) *upstream {
 	var best *upstream
 	bestFree := 0.0
-	for _, id := range p.upstreamsOf(a) {
-		u := p.ups[id]
+	for _, id := range p.upstreamsFor(a) {
+		u := p.upstreams[id]
 		c := p.capacity(u)
 		if u.used >= c {
 			continue
@@ -163,45 +163,45 @@
 
 // give sends the slot to the router whose request is most urgent, then oldest.
 // It returns false when no router that was heard lately has one.
-func (p *Pool) give(a *account, u *upstream, now time.Time) bool {
+func (p *Pool) grantOne(a *account, u *upstream, now time.Time) bool {
 	var best wire.NodeID
 	var bestRow *row
 	for _, id := range p.routerIDs() {
 		rt := p.routers[id]
 		r := rt.rows[a.org]
-		if rt.reset || r == nil || int(r.waiting) <= rt.pendingOf(a.org) || now.Sub(rt.heard) > freshFor {
+		if rt.reset || r == nil || int(r.waiting) <= rt.pendingFor(a.org) || now.Sub(rt.reportedAt) > maxReportAge {
 			continue
 		}
-		if bestRow == nil || p.ahead(a.org, rt, r, p.routers[best], bestRow) {
+		if bestRow == nil || p.precedes(a.org, rt, r, p.routers[best], bestRow) {
 			best, bestRow = id, r
 		}
 	}
 	if bestRow == nil {
 		return false
 	}
-	p.issue(p.routers[best], a.org, u, 1, now)
+	p.issueGrant(p.routers[best], a.org, u, 1, now)
 	p.granted++
 	return true
 }
 
 // ahead orders two routers' requests of one organisation.
-func (p *Pool) ahead(org version.ID, x *router, a *row, y *router, b *row) bool {
-	px, py := x.pendingOf(org), y.pendingOf(org)
+func (p *Pool) precedes(org version.ID, x *router, a *row, y *router, b *row) bool {
+	px, py := x.pendingFor(org), y.pendingFor(org)
 	ux, uy := int(a.urgent) > px, int(b.urgent) > py
 	if ux != uy {
 		return ux
 	}
-	return p.ageKey(a, px) > p.ageKey(b, py)
+	return p.weightedAge(a, px) > p.weightedAge(b, py)
 }
 
-// ageKey favours the oldest request; each grant on its way to a router counts
+// weightedAge favours the oldest request; each grant on its way to a router counts
 // against it, so that one old request does not draw every slot there.
-func (p *Pool) ageKey(r *row, pending int) float64 {
+func (p *Pool) weightedAge(r *row, pending int) float64 {
 	left := float64(int(r.waiting)-pending) / float64(r.waiting)
-	return p.at.Sub(r.since).Seconds() * left
+	return p.plannedAt.Sub(r.oldestArrival).Seconds() * left
 }
 
-func (rt *router) pendingOf(org version.ID) int {
+func (rt *router) pendingFor(org version.ID) int {
 	n := 0
 	for _, o := range rt.out {
 		if o.Org == org {
@@ -212,19 +212,19 @@
 }
 
 // issue numbers a grant and counts its slots as used.
-func (p *Pool) issue(rt *router, org version.ID, u *upstream, n int, now time.Time) {
+func (p *Pool) issueGrant(rt *router, org version.ID, u *upstream, n int, now time.Time) {
 	g := wire.Grant{No: rt.nextNo, Org: org, Upstream: u.def.ID, N: uint32(n)}
 	rt.nextNo++
 	rt.out = append(rt.out, g)
-	rt.fresh = true
-	p.use(org, u.def.ID, n, now)
+	rt.sendNow = true
+	p.addUsed(org, u.def.ID, n, now)
 	p.account(org, now).pending += n
 }
 
 // grantCredits hands half of the spare slots to the active routers while nothing
 // waits, so that their next requests start without asking.
 func (p *Pool) grantCredits(now time.Time) {
-	if !p.opt.Credits || p.tight {
+	if !p.opt.Credits || p.saturated {
 		return
 	}
 	active := p.activeRouters(now)
@@ -232,20 +232,20 @@
 		return
 	}
 	spare := 0
-	for _, id := range p.upOrder {
-		u := p.ups[id]
+	for _, id := range p.upstreamOrder {
+		u := p.upstreams[id]
 		spare += max(0, p.capacity(u)-u.used)
 	}
-	each := min(maxCredits, (spare+p.creditsOut(active))/(2*len(active)))
+	each := min(maxCreditsPerRouter, (spare+p.creditsOut(active))/(2*len(active)))
 	for _, id := range active {
-		p.topUp(p.routers[id], each, now)
+		p.topUpCredits(p.routers[id], each, now)
 	}
 }
 
 func (p *Pool) activeRouters(now time.Time) []wire.NodeID {
 	var out []wire.NodeID
 	for _, id := range p.routerIDs() {
-		if rt := p.routers[id]; !rt.reset && rt.want && now.Sub(rt.heard) < freshFor {
+		if rt := p.routers[id]; !rt.reset && rt.wantsCredits && now.Sub(rt.reportedAt) < maxReportAge {
 			out = append(out, id)
 		}
 	}
@@ -262,7 +262,7 @@
 
 // credits counts a router's unspent and travelling credits.
 func (rt *router) credits() int {
-	n := rt.pendingOf(0)
+	n := rt.pendingFor(0)
 	if row := rt.rows[0]; row != nil {
 		for _, h := range row.held {
 			n += int(h)
@@ -271,21 +271,21 @@
 	return n
 }
 
-func (p *Pool) topUp(rt *router, target int, now time.Time) {
+func (p *Pool) topUpCredits(rt *router, target int, now time.Time) {
 	if rt.credits() > target/2 {
 		return // refill in batches, not one by one
 	}
 	for n := target - rt.credits(); n > 0; n-- {
-		u := p.freestOf(p.upOrder)
+		u := p.leastLoadedOf(p.upstreamOrder)
 		if u == nil {
 			return
 		}
-		p.issue(rt, 0, u, 1, now)
+		p.issueGrant(rt, 0, u, 1, now)
 	}
 }
 
-func (p *Pool) freestOf(ids []version.ID) *upstream {
-	return p.freest(&account{allowed: ids})
+func (p *Pool) leastLoadedOf(ids []version.ID) *upstream {
+	return p.leastLoaded(&account{allowedUpstreams: ids})
 }
 
 // compose builds the messages that are due.
@@ -293,18 +293,18 @@
 	var out []Send
 	for _, id := range p.routerIDs() {
 		rt := p.routers[id]
-		resend := len(rt.out) > 0 && now.Sub(rt.sent) >= resendAfter && now.Sub(rt.heard) < Lease
-		within := quietAnswer
-		if p.tight {
-			within = answerWithin
+		resend := len(rt.out) > 0 && now.Sub(rt.sentAt) >= resendInterval && now.Sub(rt.reportedAt) < Lease
+		within := idleReplyInterval
+		if p.saturated {
+			within = saturatedReplyInterval
 		}
-		answer := rt.owes && (rt.reset || now.Sub(rt.sent) >= within)
-		if !rt.fresh && !answer && !resend {
+		answer := rt.replyDue && (rt.reset || now.Sub(rt.sentAt) >= within)
+		if !rt.sendNow && !answer && !resend {
 			continue
 		}
-		rt.owes, rt.fresh = false, false
-		rt.sent = now
-		g := wire.Grants{Pool: p.id, Epoch: rt.epoch, Seen: rt.seq, Asked: rt.asked, Tight: p.tight, Reset: rt.reset}
+		rt.replyDue, rt.sendNow = false, false
+		rt.sentAt = now
+		g := wire.Grants{Pool: p.id, Epoch: rt.epoch, ReportSeq: rt.seq, ReportSentMS: rt.reportSentMS, Saturated: p.saturated, Reset: rt.reset}
 		g.List = append(g.List, rt.out...)
 		out = append(out, Send{To: id, Grants: g})
 	}
@@ -314,8 +314,8 @@
 // routerIDs returns the routers in order. It is asked for every grant, and routers
 // come and go rarely.
 func (p *Pool) routerIDs() []wire.NodeID {
-	if p.ids == nil {
-		p.ids = slices.Sorted(maps.Keys(p.routers))
+	if p.sortedRouters == nil {
+		p.sortedRouters = slices.Sorted(maps.Keys(p.routers))
 	}
-	return p.ids
+	return p.sortedRouters
 }
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -22,17 +22,17 @@
 	// it asked, and by the scheduler from after it gave.
 	Lease = 5 * time.Second
 	// CreditLease is that of a standing credit; a full pool calls credits back.
-	CreditLease  = 10 * time.Second
-	leaseMargin  = 500 * time.Millisecond
-	resendAfter  = 1500 * time.Millisecond // longer than a router may delay its acknowledgement
-	quietAnswer  = 3 * time.Second         // the same, in a pool in which nothing waits
-	tightFor     = 2 * time.Second         // without waiting requests until the pool counts as free
-	answerWithin = 800 * time.Millisecond  // of a report that brought no grant
-	freshFor     = 3 * time.Second         // no new grant to a router silent for longer
-	idleAfter    = 3 * time.Second
-	rateHalfLife = 20 * time.Second
-	silentFor    = 150 * time.Second // three times as long as a router with work may be
-	maxCredits   = 8
+	CreditLease            = 10 * time.Second
+	leaseMargin            = 500 * time.Millisecond
+	resendInterval         = 1500 * time.Millisecond // longer than a router may delay its acknowledgement
+	idleReplyInterval      = 3 * time.Second         // the same, in a pool in which nothing waits
+	saturatedHold          = 2 * time.Second         // without waiting requests until the pool counts as free
+	saturatedReplyInterval = 800 * time.Millisecond  // of a report that brought no grant
+	maxReportAge           = 3 * time.Second         // no new grant to a router silent for longer
+	idleTimeout            = 3 * time.Second
+	rateHalfLife           = 20 * time.Second
+	routerTTL              = 150 * time.Second // three times as long as a router with work may be
+	maxCreditsPerRouter    = 8
 )
 
 // Options of a scheduler.
@@ -44,71 +44,71 @@
 
 // Pool is the scheduler's state of one pool. The control goroutine owns it.
 type Pool struct {
-	id       version.ID
-	started  time.Time
-	opt      Options
-	ver      *version.Version
-	ups      map[version.ID]*upstream
-	upOrder  []version.ID
-	routers  map[wire.NodeID]*router
-	ids      []wire.NodeID // of routers, sorted; nil when they have changed
-	accounts map[version.ID]*account
-	order    []*account // as they came, so that sums of floats do not depend on a map
-	led      *ledger.Ledger
-	clock    float64 // virtual time: the least backlogged account's at the last grant
-	fraction float64 // of each upstream's slots this scheduler may use, 1 without a cut
-	granted  uint64
-	tight    bool
-	waitedAt time.Time // last Plan with a backlog
-	at       time.Time // of the last Plan
+	id            version.ID
+	started       time.Time
+	opt           Options
+	ver           *version.Version
+	upstreams     map[version.ID]*upstream
+	upstreamOrder []version.ID
+	routers       map[wire.NodeID]*router
+	sortedRouters []wire.NodeID // of routers, sorted; nil when they have changed
+	accounts      map[version.ID]*account
+	accountOrder  []*account // as they came, so that sums of floats do not depend on a map
+	led           *ledger.Ledger
+	virtualTime   float64 // virtual time: the least backlogged account's at the last grant
+	slotFraction  float64 // of each upstream's slots this scheduler may use, 1 without a cut
+	granted       uint64
+	saturated     bool
+	backlogAt     time.Time // last Plan with a backlog
+	plannedAt     time.Time // of the last Plan
 }
 
 type upstream struct {
-	def   *version.Upstream
-	used  int // held and outstanding
-	limit limit
-	drain bool
+	def      *version.Upstream
+	used     int // held and outstanding
+	limit    limit
+	draining bool
 }
 
 type router struct {
-	inc    wire.Incarnation
-	epoch  uint32 // the router's numbering of grants
-	reset  bool   // the router counts grants that this state does not know
-	seq    uint32
-	asked  uint32
-	acked  uint32
-	nextNo uint32
-	heard  time.Time
-	want   bool // standing credits
-	sent   time.Time
-	owes   bool // an answer
-	fresh  bool // grants that were not sent yet
-	rows   map[version.ID]*row
-	norms  map[version.ID]uint64 // service last told, to see what slots earn
-	out    []wire.Grant          // not acknowledged
+	inc             wire.Incarnation
+	epoch           uint32 // the router's numbering of grants
+	reset           bool   // the router counts grants that this state does not know
+	seq             uint32
+	reportSentMS    uint32
+	acked           uint32
+	nextNo          uint32
+	reportedAt      time.Time
+	wantsCredits    bool // standing credits
+	sentAt          time.Time
+	replyDue        bool // an answer
+	sendNow         bool // grants that were not sent yet
+	rows            map[version.ID]*row
+	lastNormService map[version.ID]uint64 // service last told, to see what slots earn
+	out             []wire.Grant          // not acknowledged
 }
 
-// oldUnit is the unit of wire.Row.Old.
-const oldUnit = 100 * time.Millisecond
+// ageUnit is the unit of wire.Row.OldestAge.
+const ageUnit = 100 * time.Millisecond
 
 // row is what one router has of one organisation.
 type row struct {
-	waiting uint32
-	urgent  uint32
-	since   time.Time // arrival of the oldest waiting request
-	held    map[version.ID]uint32
+	waiting       uint32
+	urgent        uint32
+	oldestArrival time.Time // arrival of the oldest waiting request
+	held          map[version.ID]uint32
 }
 
 // New returns a scheduler of a pool that has heard nobody yet.
 func New(id version.ID, v *version.Version, led *ledger.Ledger, opt Options, now time.Time) *Pool {
 	p := &Pool{
-		id:       id,
-		started:  now,
-		opt:      opt,
-		routers:  map[wire.NodeID]*router{},
-		accounts: map[version.ID]*account{},
-		led:      led,
-		fraction: 1,
+		id:           id,
+		started:      now,
+		opt:          opt,
+		routers:      map[wire.NodeID]*router{},
+		accounts:     map[version.ID]*account{},
+		led:          led,
+		slotFraction: 1,
 	}
 	p.SetVersion(v)
 	return p
@@ -117,9 +117,9 @@
 // SetVersion takes the upstreams and organisations of a newer version.
 func (p *Pool) SetVersion(v *version.Version) {
 	p.ver = v
-	old := p.ups
-	p.ups = map[version.ID]*upstream{}
-	p.upOrder = nil
+	old := p.upstreams
+	p.upstreams = map[version.ID]*upstream{}
+	p.upstreamOrder = nil
 	def := v.Pools[p.id]
 	if def == nil {
 		return
@@ -127,25 +127,25 @@
 	for _, u := range def.Upstreams {
 		up := &upstream{def: u, limit: newLimit(u.Slots)}
 		if o := old[u.ID]; o != nil {
-			up.used, up.drain, up.limit = o.used, o.drain, o.limit
+			up.used, up.draining, up.limit = o.used, o.draining, o.limit
 			up.limit.setMax(u.Slots)
 		}
-		p.ups[u.ID] = up
-		p.upOrder = append(p.upOrder, u.ID)
+		p.upstreams[u.ID] = up
+		p.upstreamOrder = append(p.upstreamOrder, u.ID)
 	}
 	for _, a := range p.accounts {
-		a.allowed = nil
+		a.allowedUpstreams = nil
 	}
 }
 
-// SetFraction limits the scheduler to a part of every upstream's slots, while
+// SetSlotFraction limits the scheduler to a part of every upstream's slots, while
 // routers of the VM list are out of reach and may have a scheduler of their own.
-func (p *Pool) SetFraction(f float64) { p.fraction = f }
+func (p *Pool) SetSlotFraction(f float64) { p.slotFraction = f }
 
 // Drain stops new work to an upstream that is leaving.
-func (p *Pool) Drain(id version.ID, drain bool) {
-	if u := p.ups[id]; u != nil {
-		u.drain = drain
+func (p *Pool) Drain(id version.ID, draining bool) {
+	if u := p.upstreams[id]; u != nil {
+		u.draining = draining
 	}
 }
 
@@ -156,22 +156,22 @@
 		return
 	}
 	if rt == nil || inc > rt.inc {
-		p.Lost(from, now)
+		p.RemoveRouter(from, now)
 		// Without a full report, what the router holds is not known yet.
-		rt = &router{inc: inc, rows: map[version.ID]*row{}, norms: map[version.ID]uint64{}, epoch: r.Epoch, nextNo: 1, reset: !r.Full}
+		rt = &router{inc: inc, rows: map[version.ID]*row{}, lastNormService: map[version.ID]uint64{}, epoch: r.Epoch, nextNo: 1, reset: !r.Full}
 		p.routers[from] = rt
-		p.ids = nil
+		p.sortedRouters = nil
 	}
-	rt.owes = true
+	rt.replyDue = true
 	if r.Seq <= rt.seq {
 		return
 	}
 	rt.seq = r.Seq
-	rt.asked = r.Asked
-	rt.heard = now
-	rt.want = r.Want
+	rt.reportSentMS = r.SentMS
+	rt.reportedAt = now
+	rt.wantsCredits = r.WantsCredits
 	if r.Epoch != rt.epoch {
-		p.restart(rt, r.Epoch, now)
+		p.restartNumbering(rt, r.Epoch, now)
 	}
 	p.acknowledge(rt, r.Acked, now)
 	if r.Full {
@@ -180,12 +180,12 @@
 	for i := range r.Rows {
 		p.setRow(from, rt, &r.Rows[i], now)
 	}
-	p.observe(r.Seen, now)
+	p.observe(r.Samples, now)
 }
 
 func (p *Pool) observe(samples []wire.Sample, now time.Time) {
 	for _, s := range samples {
-		if u := p.ups[s.Upstream]; u != nil {
+		if u := p.upstreams[s.Upstream]; u != nil {
 			u.limit.observe(s, now)
 		}
 	}
@@ -194,9 +194,9 @@
 // restart begins the numbering of grants anew, as the router has: it follows this
 // scheduler again after another, or was asked to. Grants on their way are void,
 // and it will not take them, or their slots would never come back.
-func (p *Pool) restart(rt *router, epoch uint32, now time.Time) {
+func (p *Pool) restartNumbering(rt *router, epoch uint32, now time.Time) {
 	for _, o := range rt.out {
-		p.end(o, now)
+		p.releaseGrant(o, now)
 	}
 	rt.epoch, rt.reset, rt.out, rt.acked, rt.nextNo = epoch, false, nil, 0, 1
 }
@@ -211,7 +211,7 @@
 	kept := rt.out[:0]
 	for _, o := range rt.out {
 		if o.No <= rt.acked {
-			p.end(o, now)
+			p.releaseGrant(o, now)
 		} else {
 			kept = append(kept, o)
 		}
@@ -228,14 +228,14 @@
 	}
 	a := p.account(in.Org, now)
 	if in.Org != 0 {
-		p.led.Merge(from, rt.inc, in.Org, in.Norm)
-		a.earn(rt.norms, in)
+		p.led.Merge(from, rt.inc, in.Org, in.NormService)
+		a.recordEarned(rt.lastNormService, in)
 	}
-	r.since = now.Add(-time.Duration(in.Old) * oldUnit)
-	p.wait(a, int(in.Waiting)-int(r.waiting), r.since, now)
+	r.oldestArrival = now.Add(-time.Duration(in.OldestAge) * ageUnit)
+	p.addWaiting(a, int(in.Waiting)-int(r.waiting), r.oldestArrival, now)
 	r.waiting, r.urgent = in.Waiting, in.Urgent
 	for _, h := range in.Held {
-		p.use(in.Org, h.Upstream, int(h.N)-int(r.held[h.Upstream]), now)
+		p.addUsed(in.Org, h.Upstream, int(h.N)-int(r.held[h.Upstream]), now)
 		r.held[h.Upstream] = h.N
 		if h.N == 0 {
 			delete(r.held, h.Upstream)
@@ -254,7 +254,7 @@
 	delete(rt.rows, org)
 	p.account(org, now).waiting -= int(r.waiting)
 	for up, n := range r.held {
-		p.use(org, up, -int(n), now)
+		p.addUsed(org, up, -int(n), now)
 	}
 }
 
@@ -265,40 +265,40 @@
 }
 
 // use moves the count of slots held at an upstream by an organisation.
-func (p *Pool) use(org, up version.ID, n int, now time.Time) {
-	if u := p.ups[up]; u != nil {
+func (p *Pool) addUsed(org, up version.ID, n int, now time.Time) {
+	if u := p.upstreams[up]; u != nil {
 		u.used += n
 	}
 	p.account(org, now).addHeld(n, now)
 }
 
 // end takes back a grant's slots: acknowledged, expired, or its router lost.
-func (p *Pool) end(g wire.Grant, now time.Time) {
-	p.use(g.Org, g.Upstream, -int(g.N), now)
+func (p *Pool) releaseGrant(g wire.Grant, now time.Time) {
+	p.addUsed(g.Org, g.Upstream, -int(g.N), now)
 	p.account(g.Org, now).pending -= int(g.N)
 }
 
 // Lost drops what a dead or restarted router held and waited for. Its service
 // stays in the ledger.
-func (p *Pool) Lost(id wire.NodeID, now time.Time) {
+func (p *Pool) RemoveRouter(id wire.NodeID, now time.Time) {
 	rt := p.routers[id]
 	if rt == nil {
 		return
 	}
 	p.clearRows(rt, now)
 	for _, o := range rt.out {
-		p.end(o, now)
+		p.releaseGrant(o, now)
 	}
 	delete(p.routers, id)
-	p.ids = nil
+	p.sortedRouters = nil
 }
 
 // Ended drops what a former process of a router held: the new one may have no
 // work in this pool, and then never reports. So does a router that was silent
 // for longer than it may be with work.
-func (p *Pool) Ended(id wire.NodeID, inc wire.Incarnation, now time.Time) {
-	if rt := p.routers[id]; rt != nil && (rt.inc < inc || now.Sub(rt.heard) > silentFor) {
-		p.Lost(id, now)
+func (p *Pool) RemoveStale(id wire.NodeID, inc wire.Incarnation, now time.Time) {
+	if rt := p.routers[id]; rt != nil && (rt.inc < inc || now.Sub(rt.reportedAt) > routerTTL) {
+		p.RemoveRouter(id, now)
 	}
 }
 
@@ -307,7 +307,7 @@
 	var out []wire.Offset
 	for org, a := range p.accounts {
 		if a.offset > 0 {
-			out = append(out, wire.Offset{Org: org, Norm: uint64(a.offset * ledger.Scale)})
+			out = append(out, wire.Offset{Org: org, NormService: uint64(a.offset * ledger.Scale)})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Org < out[j].Org })
@@ -318,7 +318,7 @@
 func (p *Pool) Adopt(offsets []wire.Offset, now time.Time) {
 	for _, o := range offsets {
 		a := p.account(o.Org, now)
-		a.offset = max(a.offset, float64(o.Norm)/ledger.Scale)
+		a.offset = max(a.offset, float64(o.NormService)/ledger.Scale)
 	}
 }
 
@@ -352,10 +352,10 @@
 
 // Upstreams returns every upstream's load, in the version's order.
 func (p *Pool) Upstreams() []UpstreamLoad {
-	out := make([]UpstreamLoad, 0, len(p.upOrder))
-	for _, id := range p.upOrder {
-		u := p.ups[id]
-		out = append(out, UpstreamLoad{u.def.Name, u.used, p.capacity(u), u.def.Slots, u.drain || u.def.Closed()})
+	out := make([]UpstreamLoad, 0, len(p.upstreamOrder))
+	for _, id := range p.upstreamOrder {
+		u := p.upstreams[id]
+		out = append(out, UpstreamLoad{u.def.Name, u.used, p.capacity(u), u.def.Slots, u.draining || u.def.Closed()})
 	}
 	return out
 }
--- a/internal/core/sched/sched_test.go
+++ b/internal/core/sched/sched_test.go
@@ -85,13 +85,13 @@
 	return n
 }
 
-func TestFreeSlotsGoToWhoWaits(t *testing.T) {
+func TestFreeSlotsGoToWaitingRequests(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 9)}}, t0)
 	assert.Equal(t, 4, granted(f.Plan(t0)))
 }
 
-func TestSlotsGoOnlyWherePlacesAllow(t *testing.T) {
+func TestGrantsStayInAllowedPlaces(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.y, 9)}}, t0)
 	sends := f.Plan(t0)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestNewSchedulerListensBeforeItGrants(t *testing.T) {
+func TestNewSchedulerGrantsNothingWhileSettling(t *testing.T) {
 	f := newFixture(t, Options{Settle: time.Second})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 9)}}, t0)
 	assert.Zero(t, granted(f.Plan(t0)))
@@ -113,16 +113,16 @@
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 1)}}, t0)
 	require.Equal(t, 1, granted(f.Plan(t0)))
-	later := t0.Add(resendAfter)
+	later := t0.Add(resendInterval)
 	f.Report("r1", 1, &wire.Report{Seq: 2, Rows: []wire.Row{waiting(f.x, 1)}}, later)
 	assert.Equal(t, 1, granted(f.Plan(later)))
 	f.Report("r1", 1, &wire.Report{Seq: 3, Acked: 1, Rows: []wire.Row{{Org: f.x, Held: []wire.Held{{Upstream: f.u1, N: 1}}}}}, later)
-	assert.Zero(t, granted(f.Plan(later.Add(2*resendAfter))))
+	assert.Zero(t, granted(f.Plan(later.Add(2*resendInterval))))
 }
 
 // A router that followed another scheduler meanwhile numbers its grants anew;
 // the slots of those it never took come back.
-func TestNewEpochVoidsGrantsOnTheirWay(t *testing.T) {
+func TestNewEpochVoidsUnacknowledgedGrants(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Epoch: 1, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
 	require.Equal(t, 4, granted(f.Plan(t0)))
@@ -133,7 +133,7 @@
 	assert.Equal(t, uint32(2), sends[0].Grants.Epoch)
 }
 
-func TestRouterThatCountsUnknownGrantsIsReset(t *testing.T) {
+func TestRouterAcknowledgingUnknownGrantsIsReset(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 9, Epoch: 3, Acked: 5, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
 	sends := f.Plan(t0.Add(time.Second))
@@ -142,17 +142,17 @@
 	assert.Zero(t, granted(sends))
 }
 
-func TestDeadRoutersSlotsComeBack(t *testing.T) {
+func TestSlotsOfRemovedRouterAreFreed(t *testing.T) {
 	f := newFixture(t, Options{})
 	held := []wire.Held{{Upstream: f.u1, N: 2}, {Upstream: f.u2, N: 2}}
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{{Org: f.x, Held: held}}}, t0)
 	f.Report("r2", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
 	require.Zero(t, granted(f.Plan(t0)))
-	f.Lost("r1", t0)
+	f.RemoveRouter("r1", t0)
 	assert.Equal(t, 4, granted(f.Plan(t0)))
 }
 
-func TestGrantOfASilentRouterEndsAfterItsLease(t *testing.T) {
+func TestGrantToSilentRouterExpires(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
 	require.Equal(t, 4, granted(f.Plan(t0)))
@@ -168,7 +168,7 @@
 	assert.Zero(t, granted(f.Plan(t0)))
 }
 
-func TestLeavingUpstreamIsNotGranted(t *testing.T) {
+func TestDrainingUpstreamGetsNoGrants(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Drain(f.u2, true)
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
@@ -182,19 +182,19 @@
 func TestCreditsOnlyWhileNothingWaits(t *testing.T) {
 	f := newFixture(t, Options{Credits: true})
 	f.Report("idle", 1, &wire.Report{Seq: 1, Full: true}, t0)
-	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Want: true}, t0)
+	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, WantsCredits: true}, t0)
 	sends := f.Plan(t0)
 	require.Equal(t, 2, granted(sends), "half of the spare slots, to who asks for them")
 	assert.Zero(t, sends[len(sends)-1].Grants.List[0].Org)
 	f.Report("r2", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 9)}}, t0)
 	for _, s := range f.Plan(t0) {
-		assert.True(t, s.Grants.Tight)
+		assert.True(t, s.Grants.Saturated)
 	}
 }
 
-func TestUrgentGoesFirstInsideTheOrganisation(t *testing.T) {
+func TestUrgentRequestsGoFirstWithinOrganisation(t *testing.T) {
 	f := newFixture(t, Options{})
-	old := wire.Row{Org: f.x, Waiting: 1, Old: 600}
+	old := wire.Row{Org: f.x, Waiting: 1, OldestAge: 600}
 	urgent := wire.Row{Org: f.x, Waiting: 1, Urgent: 1}
 	held := []wire.Held{{Upstream: f.u1, N: 2}, {Upstream: f.u2, N: 1}}
 	f.Report("r0", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{{Org: f.y, Held: held}}}, t0)
@@ -209,12 +209,12 @@
 	}
 }
 
-func TestReturnFromIdlenessNeitherHoardsNorPays(t *testing.T) {
+func TestReturnFromIdlenessStartsAtVirtualTime(t *testing.T) {
 	f := newFixture(t, Options{})
-	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{{Org: f.x, Waiting: 9, Norm: 5000}}}, t0)
+	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{{Org: f.x, Waiting: 9, NormService: 5000}}}, t0)
 	f.Plan(t0)
 	now := t0.Add(time.Minute)
-	f.Report("r1", 1, &wire.Report{Seq: 2, Acked: 4, Rows: []wire.Row{{Org: f.x, Waiting: 9, Norm: 900000}}}, now)
+	f.Report("r1", 1, &wire.Report{Seq: 2, Acked: 4, Rows: []wire.Row{{Org: f.x, Waiting: 9, NormService: 900000}}}, now)
 	f.Plan(now)
 	f.Report("r1", 1, &wire.Report{Seq: 3, Acked: 4, Rows: []wire.Row{waiting(f.y, 3)}}, now.Add(time.Second))
 	load := f.Backlog()
@@ -223,69 +223,69 @@
 
 // A new scheduler must not take an organisation that has waited all along for
 // one returning from idleness: its service would be charged twice.
-func TestTakeoverKeepsTheStandingOfWhoWaited(t *testing.T) {
+func TestTakeoverDoesNotChargeWaitingOrganisationTwice(t *testing.T) {
 	f := newFixture(t, Options{})
-	row := wire.Row{Org: f.x, Waiting: 9, Norm: 100000, Old: 50}
+	row := wire.Row{Org: f.x, Waiting: 9, NormService: 100000, OldestAge: 50}
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{row}}, t0)
 	f.Plan(t0)
-	late := wire.Row{Org: f.y, Waiting: 9, Norm: 40000, Old: 60}
+	late := wire.Row{Org: f.y, Waiting: 9, NormService: 40000, OldestAge: 60}
 	f.Report("r2", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{late}}, t0.Add(10*time.Millisecond))
 	assert.InDelta(t, 400, f.Backlog()[f.y].Service, 0.01)
 }
 
-func TestFailingUpstreamRests(t *testing.T) {
+func TestFailingUpstreamIsEjected(t *testing.T) {
 	f := newFixture(t, Options{})
-	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 9)}, Seen: []wire.Sample{{Upstream: f.u1, Failed: 1}}}, t0)
+	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 9)}, Samples: []wire.Sample{{Upstream: f.u1, Failed: 1}}}, t0)
 	for _, s := range f.Plan(t0) {
 		for _, g := range s.Grants.List {
 			assert.Equal(t, f.u2, g.Upstream)
 		}
 	}
-	after := t0.Add(minRest)
+	after := t0.Add(minEjection)
 	f.Report("r1", 1, &wire.Report{Seq: 2, Acked: 2, Rows: []wire.Row{waiting(f.x, 9)}}, after)
 	assert.Positive(t, granted(f.Plan(after)))
 }
 
-func TestLimitAdaptsToTheTimeBetweenTokens(t *testing.T) {
+func TestLimitAdaptsToTimeBetweenTokens(t *testing.T) {
 	l := newLimit(100)
 	now := t0
 	for range 10 {
-		now = now.Add(cutEvery)
-		l.observe(wire.Sample{N: 10, GapMS: gapTargetMS + 50}, now)
+		now = now.Add(decreaseInterval)
+		l.observe(wire.Sample{N: 10, GapMS: maxGapMS + 50}, now)
 	}
 	assert.Less(t, l.now, 40.0)
 	for range 1000 {
-		l.observe(wire.Sample{N: 1, GapMS: gapTargetMS - 10}, now)
+		l.observe(wire.Sample{N: 1, GapMS: maxGapMS - 10}, now)
 	}
 	assert.Equal(t, 100.0, l.now)
 }
 
 // A router that restarts with nothing to do never reports again: what its former
 // process held must not stay.
-func TestFormerProcessHoldsNothing(t *testing.T) {
+func TestRestartedRouterReleasesSlotsOfFormerProcess(t *testing.T) {
 	f := newFixture(t, Options{})
 	held := []wire.Held{{Upstream: f.u1, N: 2}, {Upstream: f.u2, N: 2}}
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{{Org: f.x, Held: held}}}, t0)
 	f.Report("r2", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
-	f.Ended("r1", 1, t0)
+	f.RemoveStale("r1", 1, t0)
 	require.Zero(t, granted(f.Plan(t0)))
-	f.Ended("r1", 2, t0)
+	f.RemoveStale("r1", 2, t0)
 	assert.Equal(t, 4, granted(f.Plan(t0)))
 }
 
-func TestFirstContactMustBeFull(t *testing.T) {
+func TestFirstReportMustBeFull(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 7, Epoch: 2, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
-	sends := f.Plan(t0.Add(quietAnswer))
+	sends := f.Plan(t0.Add(idleReplyInterval))
 	require.Len(t, sends, 1)
 	assert.True(t, sends[0].Grants.Reset)
-	f.Report("r1", 1, &wire.Report{Seq: 8, Epoch: 3, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0.Add(quietAnswer))
-	assert.Equal(t, 4, granted(f.Plan(t0.Add(quietAnswer))))
+	f.Report("r1", 1, &wire.Report{Seq: 8, Epoch: 3, Full: true, Rows: []wire.Row{waiting(f.x, 4)}}, t0.Add(idleReplyInterval))
+	assert.Equal(t, 4, granted(f.Plan(t0.Add(idleReplyInterval))))
 }
 
 // After reclaimed grants the router may lack numbers; without a reset it would
 // wait for them for ever.
-func TestReclaimedNumbersBeginAnew(t *testing.T) {
+func TestRouterIsResetAfterReclaimedGrants(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Epoch: 1, Rows: []wire.Row{waiting(f.x, 1)}}, t0)
 	require.Equal(t, 1, granted(f.Plan(t0)))
@@ -300,15 +300,15 @@
 
 // What was served under a former scheduler must not look like the earnings of a
 // slot here: the look-ahead would be wrong by as much for a minute.
-func TestTakeoverLearnsTheRateAnew(t *testing.T) {
+func TestTakeoverIgnoresServiceBeforeFirstReport(t *testing.T) {
 	f := newFixture(t, Options{})
-	row := wire.Row{Org: f.x, Norm: 50_000_000, Held: []wire.Held{{Upstream: f.u1, N: 2}}}
+	row := wire.Row{Org: f.x, NormService: 50_000_000, Held: []wire.Held{{Upstream: f.u1, N: 2}}}
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{row}}, t0)
 	a := f.accounts[f.x]
 	for i := range 20 {
 		now := t0.Add(time.Duration(i+1) * time.Second)
-		a.book(now)
-		row.Norm += 2 * 13 * ledger.Scale // two slots, a second, 13 units each
+		a.accrue(now)
+		row.NormService += 2 * 13 * ledger.Scale // two slots, a second, 13 units each
 		f.Report("r1", 1, &wire.Report{Seq: uint32(2 + i), Rows: []wire.Row{row}}, now)
 	}
 	assert.InDelta(t, 13, a.rate(0), 0.5)
@@ -316,10 +316,10 @@
 
 // Just after a takeover many slots are free at once and nothing has been earned
 // here yet: they must not all go to whoever is a little behind.
-func TestTakeoverSharesTheFreeSlots(t *testing.T) {
+func TestTakeoverSharesFreeSlots(t *testing.T) {
 	f := newFixture(t, Options{Horizon: 10 * time.Second, Settle: 9 * time.Second})
-	row := wire.Row{Org: f.x, Norm: 100_000, Waiting: 9, Old: 90}
-	other := wire.Row{Org: f.y, Norm: 110_000, Waiting: 9, Old: 90}
+	row := wire.Row{Org: f.x, NormService: 100_000, Waiting: 9, OldestAge: 90}
+	other := wire.Row{Org: f.y, NormService: 110_000, Waiting: 9, OldestAge: 90}
 	for i := range 10 {
 		now := t0.Add(time.Duration(i) * time.Second)
 		r := &wire.Report{Seq: uint32(1 + i), Full: i == 0, Rows: []wire.Row{row, other}}
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -100,7 +100,7 @@
 	if n.ver == nil || n.leaving {
 		return false
 	}
-	return n.heardPeer || now.Sub(n.started) >= readyWait
+	return n.peerSeen || now.Sub(n.started) >= peerWaitTimeout
 }
 
 // Watches reports whether this router reads the configuration service: the first
@@ -115,7 +115,7 @@
 			rank++
 		}
 	}
-	return rank < watchers
+	return rank < watchersPerPlace
 }
 
 // Redirect returns the public address of a live router in one of the places, or
--- a/internal/core/wire/crashes.go
+++ b/internal/core/wire/crashes.go
@@ -2,13 +2,13 @@
 
 import "github.com/silverswitch/silverswitch/internal/version"
 
-// CrashNews is what routers tell each other of requests that crash upstreams: news, and
+// CrashUpdate is what routers tell each other of requests that crash upstreams: news, and
 // now and then what they hold in all.
-type CrashNews struct {
-	_       struct{} `cbor:",toarray"`
-	Records []CrashRecord
-	Stated  bool   // Sum is stated
-	Sum     uint64 // over the requests that the sender holds: it is the same at routers that hold the same
+type CrashUpdate struct {
+	_           struct{} `cbor:",toarray"`
+	Records     []CrashRecord
+	HasChecksum bool   // Sum is stated
+	Checksum    uint64 // over the requests that the sender holds: it is the same at routers that hold the same
 }
 
 // CrashRecord is what the sender knows of a request that was running at upstreams that
@@ -26,9 +26,9 @@
 
 // Crash is an upstream that crashed while it ran a request.
 type Crash struct {
-	_       struct{} `cbor:",toarray"`
-	Up      version.ID
-	Early   bool   // the answer had no event yet
-	BeganMS uint32 // since the attempt began
-	AgeMS   uint32 // since the crash
+	_            struct{} `cbor:",toarray"`
+	Upstream     version.ID
+	Early        bool   // the answer had no event yet
+	AttemptAgeMS uint32 // since the attempt began
+	AgeMS        uint32 // since the crash
 }
--- a/internal/core/wire/snapshot.go
+++ b/internal/core/wire/snapshot.go
@@ -25,23 +25,23 @@
 // OrgWindow is what one organisation asked for and got in the window in which shares are
 // counted, in tokens, by the age of a step: the present one first.
 type OrgWindow struct {
-	_     struct{} `cbor:",toarray"`
-	Org   version.ID
-	Asked []float32
-	Got   []float32
+	_         struct{} `cbor:",toarray"`
+	Org       version.ID
+	Requested []float32
+	Received  []float32
 }
 
 // EngineSnapshot is what one engine is believed to keep, the latest used first, and for how
 // long it is passed over after failures.
 type EngineSnapshot struct {
-	_        struct{} `cbor:",toarray"`
-	Upstream version.ID
-	RestMS   uint32
-	Kept     []KeptPart
+	_           struct{} `cbor:",toarray"`
+	Upstream    version.ID
+	EjectionMS  uint32
+	CachedParts []CachedPart
 }
 
-// KeptPart is a prompt part that an engine keeps. One that is not Ready is still read.
-type KeptPart struct {
+// CachedPart is a prompt part that an engine keeps. One that is not Ready is still read.
+type CachedPart struct {
 	_      struct{} `cbor:",toarray"`
 	Part   uint64
 	Tokens uint32
