--- a/internal/core/wire/wire.go
+++ b/internal/core/wire/wire.go
@@ -21,18 +21,20 @@
 type Incarnation uint64
 
 // epoch2025 is the zero of Incarnation, in Unix milliseconds.
-const epoch2025 = 1735689600_000
+const incarnationEpochMS = 1735689600_000
 
 // tenth is the unit of Incarnation in milliseconds.
-const tenth = 100
+const incarnationUnitMS = 100
 
 // IncarnationAt returns the incarnation of a process that starts at a moment.
 func IncarnationAt(t time.Time) Incarnation {
-	return Incarnation((t.UnixMilli() - epoch2025) / tenth)
+	return Incarnation((t.UnixMilli() - incarnationEpochMS) / incarnationUnitMS)
 }
 
 // Start returns the moment an incarnation names.
-func (i Incarnation) Start() time.Time { return time.UnixMilli(int64(i)*tenth + epoch2025) }
+func (i Incarnation) Start() time.Time {
+	return time.UnixMilli(int64(i)*incarnationUnitMS + incarnationEpochMS)
+}
 
 // State is what is known of a router.
 type State uint8
@@ -53,42 +55,42 @@
 // Update is one router's state as its teller knows it. Refute is raised by the
 // router itself to overrule a wrong suspicion (SWIM, Das et al. 2002, 4.2).
 type Update struct {
-	_      struct{} `cbor:",toarray"`
-	ID     NodeID
-	Inc    Incarnation
-	Refute uint32
-	State  State
-	Place  string
-	Public string // base URL for callers
-	Power  uint32 // thousandths of a core the router has, 0 when it does not say
+	_           struct{} `cbor:",toarray"`
+	ID          NodeID
+	Inc         Incarnation
+	Refutations uint32
+	State       State
+	Place       string
+	Public      string // base URL for callers
+	Power       uint32 // thousandths of a core the router has, 0 when it does not say
 }
 
 // Datagram is everything one router tells another at one moment.
 type Datagram struct {
-	From    NodeID          `cbor:"-"` // the socket it came from; sealing binds it
-	Inc     Incarnation     `cbor:"2,keyasint"`
-	Refute  uint32          `cbor:"3,keyasint,omitempty"`
-	State   State           `cbor:"4,keyasint,omitempty"`
-	Version *version.Number `cbor:"5,keyasint,omitempty"` // on pings, acks, and after a change
-	Updates []Update        `cbor:"6,keyasint,omitempty"`
-	Tell    bool            `cbor:"16,keyasint,omitempty"` // the sender lacks the receiver's own update
-	Drains  []version.ID    `cbor:"7,keyasint,omitempty"`  // upstreams known to be leaving
-	Ping    *Ping           `cbor:"8,keyasint,omitempty"`
-	Ack     *Ack            `cbor:"9,keyasint,omitempty"`
-	Reports []Report        `cbor:"10,keyasint,omitempty"`
-	Grants  []Grants        `cbor:"11,keyasint,omitempty"`
-	Ledger  *Ledger         `cbor:"12,keyasint,omitempty"`
-	Claims  []Claim         `cbor:"13,keyasint,omitempty"`
-	Votes   []Vote          `cbor:"14,keyasint,omitempty"`
-	States  []PoolState     `cbor:"15,keyasint,omitempty"`
-	Work    *Work           `cbor:"17,keyasint,omitempty"`
-	Join    *JoinFrom       `cbor:"18,keyasint,omitempty"` // the sender has just started: it wants what it does not know yet
-	Crashes *CrashNews      `cbor:"20,keyasint,omitempty"`
-	Told    uint32          `cbor:"19,keyasint,omitempty"` // answer to that: the clock up to which the updates tell all
+	From              NodeID          `cbor:"-"` // the socket it came from; sealing binds it
+	Inc               Incarnation     `cbor:"2,keyasint"`
+	Refutations       uint32          `cbor:"3,keyasint,omitempty"`
+	State             State           `cbor:"4,keyasint,omitempty"`
+	Version           *version.Number `cbor:"5,keyasint,omitempty"` // on pings, acks, and after a change
+	Updates           []Update        `cbor:"6,keyasint,omitempty"`
+	WantsUpdate       bool            `cbor:"16,keyasint,omitempty"` // the sender lacks the receiver's own update
+	DrainingUpstreams []version.ID    `cbor:"7,keyasint,omitempty"`  // upstreams known to be leaving
+	Ping              *Ping           `cbor:"8,keyasint,omitempty"`
+	Ack               *Ack            `cbor:"9,keyasint,omitempty"`
+	Reports           []Report        `cbor:"10,keyasint,omitempty"`
+	Grants            []Grants        `cbor:"11,keyasint,omitempty"`
+	Ledger            *Ledger         `cbor:"12,keyasint,omitempty"`
+	Claims            []Claim         `cbor:"13,keyasint,omitempty"`
+	Votes             []Vote          `cbor:"14,keyasint,omitempty"`
+	PoolStates        []PoolState     `cbor:"15,keyasint,omitempty"`
+	Dispatch          *Dispatch       `cbor:"17,keyasint,omitempty"`
+	Join              *JoinRequest    `cbor:"18,keyasint,omitempty"` // the sender has just started: it wants what it does not know yet
+	Crashes           *CrashUpdate    `cbor:"20,keyasint,omitempty"`
+	JoinClock         uint32          `cbor:"19,keyasint,omitempty"` // answer to that: the clock up to which the updates tell all
 }
 
-// JoinFrom names how much of a router's table of members the sender knows.
-type JoinFrom struct {
+// JoinRequest names how much of a router's table of members the sender knows.
+type JoinRequest struct {
 	_     struct{}    `cbor:",toarray"`
 	Inc   Incarnation // of the process that told it
 	Clock uint32      // that process's count of changes
@@ -110,27 +112,27 @@
 
 // Report is a router's waiting and running work in one pool, to its scheduler.
 type Report struct {
-	_     struct{} `cbor:",toarray"`
-	Pool  version.ID
-	Seq   uint32 // number of this report; older ones are dropped
-	Asked uint32 // ms since the sender's start, echoed by the grants that answer
-	Epoch uint32 // of grant numbers; the sender raises it to begin anew
-	Acked uint32 // last grant number taken in that epoch
-	Full  bool   // rows not listed are empty
-	Want  bool   // requests come often enough to use standing credits
-	Rows  []Row
-	Seen  []Sample
+	_            struct{} `cbor:",toarray"`
+	Pool         version.ID
+	Seq          uint32 // number of this report; older ones are dropped
+	SentMS       uint32 // ms since the sender's start, echoed by the grants that answer
+	Epoch        uint32 // of grant numbers; the sender raises it to begin anew
+	Acked        uint32 // last grant number taken in that epoch
+	Full         bool   // rows not listed are empty
+	WantsCredits bool   // requests come often enough to use standing credits
+	Rows         []Row
+	Samples      []Sample
 }
 
 // Row is one organisation's part of a Report.
 type Row struct {
-	_       struct{} `cbor:",toarray"`
-	Org     version.ID
-	Waiting uint32
-	Urgent  uint32
-	Old     uint32 // age of the oldest waiting request, in tenths of a second
-	Norm    uint64 // service received through the sender since its start, over share, in hundredths
-	Held    []Held
+	_           struct{} `cbor:",toarray"`
+	Org         version.ID
+	Waiting     uint32
+	Urgent      uint32
+	OldestAge   uint32 // age of the oldest waiting request, in tenths of a second
+	NormService uint64 // service received through the sender since its start, over share, in hundredths
+	Held        []Held
 }
 
 // Held counts the sender's requests at one upstream.
@@ -153,14 +155,14 @@
 
 // Grants answers a Report. Grants are resent until a Report acknowledges them.
 type Grants struct {
-	_     struct{} `cbor:",toarray"`
-	Pool  version.ID
-	Epoch uint32
-	Seen  uint32 // last report seen
-	Asked uint32 // its clock; the receiver counts the lease from here
-	Tight bool   // the pool has a backlog: give unused credits back
-	Reset bool   // the scheduler has lost count: begin a new epoch
-	List  []Grant
+	_            struct{} `cbor:",toarray"`
+	Pool         version.ID
+	Epoch        uint32
+	ReportSeq    uint32 // last report seen
+	ReportSentMS uint32 // its clock; the receiver counts the lease from here
+	Saturated    bool   // the pool has a backlog: give unused credits back
+	Reset        bool   // the scheduler has lost count: begin a new epoch
+	List         []Grant
 }
 
 // Grant is leave to run N requests at an upstream. Org 0 is a standing credit:
@@ -182,9 +184,9 @@
 // LedgerRow is one cell of the service ledger. Cells only grow, and merge by
 // the larger value.
 type LedgerRow struct {
-	_    struct{} `cbor:",toarray"`
-	Org  version.ID
-	Norm uint64
+	_           struct{} `cbor:",toarray"`
+	Org         version.ID
+	NormService uint64
 }
 
 // PoolState is a scheduler's state of one organisation's account, copied to the
@@ -198,18 +200,18 @@
 
 // Offset is service an organisation is taken to have had (return from idleness).
 type Offset struct {
-	_    struct{} `cbor:",toarray"`
-	Org  version.ID
-	Norm uint64
+	_           struct{} `cbor:",toarray"`
+	Org         version.ID
+	NormService uint64
 }
 
 // Cell is a ledger row with the router it came from.
 type Cell struct {
-	_    struct{} `cbor:",toarray"`
-	Node NodeID
-	Inc  Incarnation
-	Org  version.ID
-	Norm uint64
+	_           struct{} `cbor:",toarray"`
+	Node        NodeID
+	Inc         Incarnation
+	Org         version.ID
+	NormService uint64
 }
 
 // Attempt names one try to run a request; it is unique over all routers.
@@ -236,10 +238,10 @@
 
 // The verdicts. Only VerdictGranted counts towards a quorum.
 const (
-	VerdictGranted Verdict = iota
-	VerdictTaken           // another attempt holds the key
-	VerdictCannot          // the witness may have forgotten: key older than its memory
-	VerdictExpired         // key outside the window in which keys are remembered
+	VerdictGranted   Verdict = iota
+	VerdictTaken             // another attempt holds the key
+	VerdictForgotten         // the witness may have forgotten: key older than its memory
+	VerdictExpired           // key outside the window in which keys are remembered
 )
 
 // Vote carries a Verdict, and the holder when the key is taken.
@@ -254,16 +256,16 @@
 
 // Bounds on what is accepted from outside.
 const (
-	MaxDatagram = 60 * 1024
-	maxElements = 16384
-	maxDepth    = 8
+	MaxDatagramBytes = 60 * 1024
+	maxArrayElements = 16384
+	maxNestedLevels  = 8
 )
 
 // ErrDecode is a datagram that is not one of ours.
 var ErrDecode = errorx.NewNamespace("wire").NewType("decode")
 
 var decoder = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: 64, MaxNestedLevels: maxDepth}.DecMode()
+	m, err := cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: 64, MaxNestedLevels: maxNestedLevels}.DecMode()
 	if err != nil {
 		panic(err) // options are constants
 	}
@@ -276,16 +278,16 @@
 	if err != nil {
 		return nil, ErrDecode.Wrap(err, "encode")
 	}
-	if len(raw) > MaxDatagram {
-		return nil, ErrDecode.New("datagram of %d bytes: allowed: at most %d", len(raw), MaxDatagram)
+	if len(raw) > MaxDatagramBytes {
+		return nil, ErrDecode.New("datagram of %d bytes: allowed: at most %d", len(raw), MaxDatagramBytes)
 	}
 	return raw, nil
 }
 
 // Decode reads the bytes of a datagram.
 func Decode(raw []byte) (*Datagram, error) {
-	if len(raw) > MaxDatagram {
-		return nil, ErrDecode.New("datagram of %d bytes: allowed: at most %d", len(raw), MaxDatagram)
+	if len(raw) > MaxDatagramBytes {
+		return nil, ErrDecode.New("datagram of %d bytes: allowed: at most %d", len(raw), MaxDatagramBytes)
 	}
 	d := &Datagram{}
 	if err := decoder.Unmarshal(raw, d); err != nil {
--- a/internal/core/wire/wire_test.go
+++ b/internal/core/wire/wire_test.go
@@ -10,33 +10,33 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-func full() *Datagram {
+func fullDatagram() *Datagram {
 	return &Datagram{
-		Inc: 7, Refute: 2, State: Leaving, Version: &version.Number{Revision: 3, Hash: 4},
+		Inc: 7, Refutations: 2, State: Leaving, Version: &version.Number{Revision: 3, Hash: 4},
 		Updates: []Update{{ID: "10.0.0.1:1", Inc: 5, Place: "a", Public: "http://x"}},
 		Ping:    &Ping{Seq: 1, Target: "10.0.0.2:1"}, Ack: &Ack{Seq: 2},
-		Reports: []Report{{Pool: 1, Seq: 2, Rows: []Row{{Org: 3, Waiting: 4, Held: []Held{{Upstream: 5, N: 6}}}}, Seen: []Sample{{Upstream: 5, N: 1}}}},
-		Grants:  []Grants{{Pool: 1, List: []Grant{{No: 1, Org: 2, Upstream: 3, N: 1}}}},
-		Ledger:  &Ledger{Rows: []LedgerRow{{Org: 1, Norm: 2}}},
-		Claims:  []Claim{{Minted: 9, Attempt: Attempt{Node: "n", No: 3}}},
-		Votes:   []Vote{{Verdict: VerdictTaken}},
-		States:  []PoolState{{Pool: 1, Offsets: []Offset{{Org: 1, Norm: 2}}, Cells: []Cell{{Node: "n", Org: 1}}}},
+		Reports:    []Report{{Pool: 1, Seq: 2, Rows: []Row{{Org: 3, Waiting: 4, Held: []Held{{Upstream: 5, N: 6}}}}, Samples: []Sample{{Upstream: 5, N: 1}}}},
+		Grants:     []Grants{{Pool: 1, List: []Grant{{No: 1, Org: 2, Upstream: 3, N: 1}}}},
+		Ledger:     &Ledger{Rows: []LedgerRow{{Org: 1, NormService: 2}}},
+		Claims:     []Claim{{Minted: 9, Attempt: Attempt{Node: "n", No: 3}}},
+		Votes:      []Vote{{Verdict: VerdictTaken}},
+		PoolStates: []PoolState{{Pool: 1, Offsets: []Offset{{Org: 1, NormService: 2}}, Cells: []Cell{{Node: "n", Org: 1}}}},
 	}
 }
 
-func TestDatagramsComeBackAsTheyWere(t *testing.T) {
-	raw, err := Encode(full())
+func TestDatagramRoundTrip(t *testing.T) {
+	raw, err := Encode(fullDatagram())
 	require.NoError(t, err)
 	back, err := Decode(raw)
 	require.NoError(t, err)
-	assert.Equal(t, full(), back)
+	assert.Equal(t, fullDatagram(), back)
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidDatagrams(t *testing.T) {
 	for name, raw := range map[string][]byte{
 		"nothing":   {},
 		"text":      []byte("hello"),
-		"too large": make([]byte, MaxDatagram+1),
+		"too large": make([]byte, MaxDatagramBytes+1),
 		"state":     {0xa1, 0x04, 0x09},
 	} {
 		_, err := Decode(raw)
@@ -44,14 +44,14 @@
 	}
 }
 
-func TestIncarnationsGrowWithTime(t *testing.T) {
+func TestIncarnationsIncreaseWithTime(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	assert.Greater(t, IncarnationAt(now.Add(tenth*time.Millisecond)), IncarnationAt(now))
+	assert.Greater(t, IncarnationAt(now.Add(incarnationUnitMS*time.Millisecond)), IncarnationAt(now))
 	assert.Equal(t, now.UnixMilli(), IncarnationAt(now).Start().UnixMilli())
 }
 
 func FuzzDecode(f *testing.F) {
-	raw, err := Encode(full())
+	raw, err := Encode(fullDatagram())
 	require.NoError(f, err)
 	f.Add(raw)
 	f.Add([]byte{0xa0})
--- a/internal/core/wire/work.go
+++ b/internal/core/wire/work.go
@@ -4,27 +4,27 @@
 
 // Work is what routers tell each other about requests that are placed one by
 // one. Names travel as 32-bit IDs, prompt parts as 64-bit hashes; no content.
-type Work struct {
-	Beat     uint32          `cbor:"1,keyasint,omitempty"` // number of this regular message
-	Revision uint64          `cbor:"2,keyasint,omitempty"` // of the last change the sender knows of the store's content
-	Asks     []WorkAsk       `cbor:"3,keyasint,omitempty"`
-	Answers  []WorkAnswer    `cbor:"4,keyasint,omitempty"`
-	Notes    []WorkNote      `cbor:"5,keyasint,omitempty"`
-	Loads    []WorkLoad      `cbor:"6,keyasint,omitempty"`  // absolute, of the sender's own requests
-	Held     []HeldPart      `cbor:"8,keyasint,omitempty"`  // prompt parts that upstreams have read
-	Sight    *StoreSight     `cbor:"9,keyasint,omitempty"`  // the latest one that the sender knows of
-	Delta    *StoreDelta     `cbor:"10,keyasint,omitempty"` // a change of the store's content
-	Unasked  []Unasked       `cbor:"11,keyasint,omitempty"` // since the last time
-	Demand   []ServiceDemand `cbor:"13,keyasint,omitempty"` // of the sender's callers
-	Fleet    []ServiceDemand `cbor:"18,keyasint,omitempty"` // of all routers' callers, as far as the sender knows
-	Blind    bool            `cbor:"12,keyasint,omitempty"` // the store does not answer the sender
-	Models   []PrefillModel  `cbor:"14,keyasint,omitempty"` // told to those who may schedule
-	Words    []ShareWord     `cbor:"15,keyasint,omitempty"` // of the sender, as scheduler
-	Booked   []Unasked       `cbor:"17,keyasint,omitempty"` // by the sender, as scheduler, since the last time; told to those who may take over
-	Doubts   []Doubt         `cbor:"19,keyasint,omitempty"` // of the sender, with regular messages
-	Backoffs []Backoff       `cbor:"20,keyasint,omitempty"` // upstreams that want nothing of the sender: none of Asks is to go there
-	Table    uint64          `cbor:"21,keyasint,omitempty"` // number of the routing table that the sender has
-	Late     bool            `cbor:"16,keyasint,omitempty"` // the sender is short of processor: times it tells are its own
+type Dispatch struct {
+	Heartbeat         uint32             `cbor:"1,keyasint,omitempty"` // number of this regular message
+	Revision          uint64             `cbor:"2,keyasint,omitempty"` // of the last change the sender knows of the store's content
+	PlacementRequests []PlacementRequest `cbor:"3,keyasint,omitempty"`
+	PlacementReplies  []PlacementReply   `cbor:"4,keyasint,omitempty"`
+	ProgressNotes     []ProgressNote     `cbor:"5,keyasint,omitempty"`
+	Loads             []UpstreamLoad     `cbor:"6,keyasint,omitempty"`  // absolute, of the sender's own requests
+	CachedParts       []CachedPartUpdate `cbor:"8,keyasint,omitempty"`  // prompt parts that upstreams have read
+	Reading           *StoreReading      `cbor:"9,keyasint,omitempty"`  // the latest one that the sender knows of
+	Delta             *StoreDelta        `cbor:"10,keyasint,omitempty"` // a change of the store's content
+	LocalUsage        []LocalUsage       `cbor:"11,keyasint,omitempty"` // since the last time
+	Demand            []ServiceDemand    `cbor:"13,keyasint,omitempty"` // of the sender's callers
+	FleetDemand       []ServiceDemand    `cbor:"18,keyasint,omitempty"` // of all routers' callers, as far as the sender knows
+	StoreUnreachable  bool               `cbor:"12,keyasint,omitempty"` // the store does not answer the sender
+	PrefillModels     []PrefillModel     `cbor:"14,keyasint,omitempty"` // told to those who may schedule
+	ShareUpdates      []ShareUpdate      `cbor:"15,keyasint,omitempty"` // of the sender, as scheduler
+	RecordedUsage     []LocalUsage       `cbor:"17,keyasint,omitempty"` // by the sender, as scheduler, since the last time; told to those who may take over
+	ColdSuspicions    []ColdSuspicion    `cbor:"19,keyasint,omitempty"` // of the sender, with regular messages
+	Backoffs          []Backoff          `cbor:"20,keyasint,omitempty"` // upstreams that want nothing of the sender: none of Asks is to go there
+	Table             uint64             `cbor:"21,keyasint,omitempty"` // number of the routing table that the sender has
+	Overloaded        bool               `cbor:"16,keyasint,omitempty"` // the sender is short of processor: times it tells are its own
 }
 
 // PrefillModel is what the sender has learned, or inherited, of the times to a first
@@ -47,40 +47,40 @@
 	Requests uint32
 }
 
-// StoreSight is one reading of the platform's store by some router. It is passed on
+// StoreReading is one reading of the platform's store by some router. It is passed on
 // until a later one is known, so that every router knows how old the fleet's
 // knowledge of the store is. By, Inc and No name the reading: its age is counted
 // from when it was first heard, so passing it on cannot make it look younger.
-type StoreSight struct {
-	_      struct{} `cbor:",toarray"`
-	By     NodeID
-	Inc    Incarnation
-	No     uint32 // counts the reader's readings
-	AgeMS  uint32
-	BackMS uint32 // since the reader found the store back after an outage, plus one; 0 is not lately
+type StoreReading struct {
+	_           struct{} `cbor:",toarray"`
+	Reader      NodeID
+	Inc         Incarnation
+	No          uint32 // counts the reader's readings
+	AgeMS       uint32
+	RecoveredMS uint32 // since the reader found the store back after an outage, plus one; 0 is not lately
 }
 
 // Unasked is work of one organisation on which the sender decided without the
 // scheduler: refused for want of processor, or placed because no answer came. Both
 // are in tokens as shares are counted; Placed is less than 0 when more came to nothing
 // than was placed since the last time.
-type Unasked struct {
-	_       struct{} `cbor:",toarray"`
-	Service version.ID
-	Org     version.ID
-	Wanted  int64
-	Placed  int64
+type LocalUsage struct {
+	_         struct{} `cbor:",toarray"`
+	Service   version.ID
+	Org       version.ID
+	Requested int64
+	Placed    int64
 }
 
-// ShareWord is how an organisation stands at a service that the sender schedules, in
+// ShareUpdate is how an organisation stands at a service that the sender schedules, in
 // tokens of the window in which shares are counted.
-type ShareWord struct {
-	_       struct{} `cbor:",toarray"`
-	Service version.ID
-	Org     version.ID
-	Over    uint32 // hundredths of its share that it has had
-	Share   uint32
-	Asked   uint32 // by all routers
+type ShareUpdate struct {
+	_            struct{} `cbor:",toarray"`
+	Service      version.ID
+	Org          version.ID
+	SharePercent uint32 // hundredths of its share that it has had
+	Share        uint32
+	Requested    uint32 // by all routers
 }
 
 // StoreDelta is every change of the store's content from one revision to another.
@@ -116,23 +116,23 @@
 	ColdMS   uint32 // how much longer it is cold, as of the sending
 }
 
-// WorkAsk asks the receiver, as the scheduler of a service, to place a request.
-type WorkAsk struct {
-	_        struct{} `cbor:",toarray"`
-	No       uint64   // the sender's number of the request
-	Try      uint32   // counts the sender's asks for this request
-	Service  version.ID
-	Org      version.ID
-	Place    version.ID // of the sender
-	Input    uint32     // tokens of the prompt
-	Output   uint32     // tokens expected
-	AimMS    uint32     // until the answer is late, 0 when it is
-	LeftMS   uint32     // until the caller's deadline
-	Priority uint8
-	Parts    []PromptPart
-	Avoid    []version.ID // upstreams that failed this request
-	Regions  []version.ID // that may run it; none are all
-	Backoffs []Backoff    `cbor:"-"` // of the message that the ask came with
+// PlacementRequest asks the receiver, as the scheduler of a service, to place a request.
+type PlacementRequest struct {
+	_          struct{} `cbor:",toarray"`
+	No         uint64   // the sender's number of the request
+	Try        uint32   // counts the sender's asks for this request
+	Service    version.ID
+	Org        version.ID
+	Place      version.ID // of the sender
+	Input      uint32     // tokens of the prompt
+	Output     uint32     // tokens expected
+	TargetMS   uint32     // until the answer is late, 0 when it is
+	DeadlineMS uint32     // until the caller's deadline
+	Priority   uint8
+	Parts      []PromptPart
+	Avoid      []version.ID // upstreams that failed this request
+	Regions    []version.ID // that may run it; none are all
+	Backoffs   []Backoff    `cbor:"-"` // of the message that the ask came with
 }
 
 // Backoff says for how long an upstream wants nothing of the sender (Retry-After).
@@ -149,46 +149,46 @@
 	Tokens uint32
 }
 
-// WorkAnswer places a request, or refuses it when Upstream is 0.
-type WorkAnswer struct {
-	_        struct{} `cbor:",toarray"`
-	No       uint64
-	Try      uint32
-	Upstream version.ID
-	Source   version.ID // an upstream to fetch kept prompt parts from, or 0
-	Work     uint32     // tokens the upstream is expected to read
-	WaitMS   uint32     // expected behind others
-	AfterMS  uint32     // of a refusal: when to come back
-	LimitMS  uint32     // of a refusal: the wait that was allowed
-	Over     uint32     // hundredths of its share that the organisation has had
-	Why      uint8
-	OwnMS    uint32 // expected from the end of the wait to the first event
-	Cold     bool   // the upstream is cold, and the place is within what it takes
-	Look     bool   // the upstream's health is to be asked first: it has answered nothing lately
-}
-
-// WorkNote tells the scheduler how a placed request goes on.
-type WorkNote struct {
+// PlacementReply places a request, or refuses it when Upstream is 0.
+type PlacementReply struct {
+	_             struct{} `cbor:",toarray"`
+	No            uint64
+	Try           uint32
+	Upstream      version.ID
+	CacheSource   version.ID // an upstream to fetch kept prompt parts from, or 0
+	PrefillTokens uint32     // tokens the upstream is expected to read
+	WaitMS        uint32     // expected behind others
+	RetryAfterMS  uint32     // of a refusal: when to come back
+	WaitLimitMS   uint32     // of a refusal: the wait that was allowed
+	SharePercent  uint32     // hundredths of its share that the organisation has had
+	ReasonCode    uint8
+	PrefillMS     uint32 // expected from the end of the wait to the first event
+	Cold          bool   // the upstream is cold, and the place is within what it takes
+	CheckHealth   bool   // the upstream's health is to be asked first: it has answered nothing lately
+}
+
+// ProgressNote tells the scheduler how a placed request goes on.
+type ProgressNote struct {
 	_       struct{} `cbor:",toarray"`
 	No      uint64
 	Event   uint8  // one of the Note constants
 	FirstMS uint32 // from sending to the first event
 }
 
-// Events of a WorkNote.
+// Events of a ProgressNote.
 const (
-	NoteFirst   uint8 = iota + 1 // the first event came
-	NoteDone                     // ended, answered
-	NoteFailed                   // ended by the upstream's fault
-	NoteUnused                   // the upstream did not run it, or it was never sent
-	NoteRefused                  // ended, since the upstream refused the connection
+	ProgressFirstEvent uint8 = iota + 1 // the first event came
+	ProgressDone                        // ended, answered
+	ProgressFailed                      // ended by the upstream's fault
+	ProgressUnused                      // the upstream did not run it, or it was never sent
+	ProgressRefused                     // ended, since the upstream refused the connection
 )
 
 // IsFailure reports whether an event is an upstream's fault.
-func IsFailure(event uint8) bool { return event == NoteFailed || event == NoteRefused }
+func IsFailure(event uint8) bool { return event == ProgressFailed || event == ProgressRefused }
 
-// WorkLoad is the sender's own use of one upstream.
-type WorkLoad struct {
+// UpstreamLoad is the sender's own use of one upstream.
+type UpstreamLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
 	Running  uint32
@@ -198,14 +198,14 @@
 
 // Doubt says that the sender has reason to take an upstream for cold, beside what the
 // upstream's entry says.
-type Doubt struct {
+type ColdSuspicion struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
 	ForMS    uint32
 }
 
-// HeldPart says that an upstream has read a prompt part.
-type HeldPart struct {
+// CachedPartUpdate says that an upstream has read a prompt part.
+type CachedPartUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
 	Part     uint64
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -50,7 +50,7 @@
 }
 
 // decide places a request or refuses it.
-func (p *pool) decide(from wire.NodeID, a *wire.WorkAsk, now time.Time) verdict {
+func (p *pool) decide(from wire.NodeID, a *wire.PlacementRequest, now time.Time) verdict {
 	tokens := Cost(int(a.Input), int(a.Output))
 	if a.Try <= 1 {
 		p.meter.ask(a.Org, tokens, now)
@@ -84,7 +84,7 @@
 
 // whyRefuse returns why a request should not have a place, or ReasonNone, and how long it
 // might wait there, in milliseconds.
-func (p *pool) whyRefuse(a *wire.WorkAsk, c *choice, over float64, now time.Time) (Reason, float64) {
+func (p *pool) whyRefuse(a *wire.PlacementRequest, c *choice, over float64, now time.Time) (Reason, float64) {
 	limit := p.waitLimit(a, c, over)
 	switch {
 	case p.waits(c, over) > limit:
@@ -124,10 +124,12 @@
 
 // mayRefuse reports whether a request may be refused for the wait. One that has been
 // sent before is work half done, or an answer half given.
-func (p *pool) mayRefuse(a *wire.WorkAsk) bool { return len(a.Avoid) == 0 && !p.without.Refusals }
+func (p *pool) mayRefuse(a *wire.PlacementRequest) bool {
+	return len(a.Avoid) == 0 && !p.without.Refusals
+}
 
 // start books a request at its upstream.
-func (p *pool) start(from wire.NodeID, a *wire.WorkAsk, c *choice, tokens float64, now time.Time) {
+func (p *pool) start(from wire.NodeID, a *wire.PlacementRequest, c *choice, tokens float64, now time.Time) {
 	r := &run{
 		key:    runKey{from, a.No},
 		org:    a.Org,
@@ -137,7 +139,7 @@
 		tokens: ownTokens(int(a.Input), int(a.Output), a.Parts),
 		output: int(a.Output),
 		parts:  a.Parts,
-		until:  now.Add(time.Duration(a.LeftMS)*time.Millisecond + runGrace),
+		until:  now.Add(time.Duration(a.DeadlineMS)*time.Millisecond + runGrace),
 	}
 	p.forget(r.key, false, now)
 	c.up.placeRun(r, now)
@@ -154,10 +156,10 @@
 
 // aimOf is the time in milliseconds within which a first event is to come: what is left of
 // the request's own target, and the strictest target of the service.
-func (p *pool) aimOf(a *wire.WorkAsk) float64 {
-	aim := float64(a.AimMS)
-	if a.AimMS == 0 {
-		aim = float64(a.LeftMS) / 4
+func (p *pool) aimOf(a *wire.PlacementRequest) float64 {
+	aim := float64(a.TargetMS)
+	if a.TargetMS == 0 {
+		aim = float64(a.DeadlineMS) / 4
 	}
 	if p.aim > 0 {
 		aim = min(aim, p.aim)
@@ -167,7 +169,7 @@
 
 // waitLimit is how long a request may wait behind others at an engine, in
 // milliseconds. over is how much of its share its organisation has had.
-func (p *pool) waitLimit(a *wire.WorkAsk, c *choice, over float64) float64 {
+func (p *pool) waitLimit(a *wire.PlacementRequest, c *choice, over float64) float64 {
 	aim := p.aimOf(a)
 	part := waitUnder
 	urgency := math.Pow(lessUrgent, float64(p.urgency.rank(int(a.Priority))))
@@ -194,7 +196,7 @@
 	return waitUnder + over*(waitAtShare-waitUnder)
 }
 
-func (p *pool) whyNone(a *wire.WorkAsk, now time.Time) Reason {
+func (p *pool) whyNone(a *wire.PlacementRequest, now time.Time) Reason {
 	switch {
 	case len(p.order) == 0:
 		return ReasonNoUpstream
@@ -211,7 +213,7 @@
 }
 
 // comeBackNone is when to come back if no upstream takes the request now.
-func (p *pool) comeBackNone(a *wire.WorkAsk, why Reason, now time.Time) time.Duration {
+func (p *pool) comeBackNone(a *wire.PlacementRequest, why Reason, now time.Time) time.Duration {
 	switch why {
 	case ReasonEvacuated, ReasonRegions:
 		return maxComeBack // nobody knows when that changes
@@ -244,7 +246,7 @@
 )
 
 // comeBack is when the backlog will have fallen below the request's limit.
-func (p *pool) comeBack(a *wire.WorkAsk, waitMS, limitMS float64) time.Duration {
+func (p *pool) comeBack(a *wire.PlacementRequest, waitMS, limitMS float64) time.Duration {
 	d := time.Duration((waitMS - limitMS) * 1.5 * float64(time.Millisecond))
 	return min(max(d, minComeBack), maxComeBack)
 }
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -41,7 +41,7 @@
 			}
 			free[o.Instance.ID] = begun.Add(time.Duration(o.Work/30) * time.Millisecond)
 			at := free[o.Instance.ID].Add(20 * time.Millisecond)
-			events = append(events, event{at, []Input{First{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.NoteDone}}})
+			events = append(events, event{at, []Input{First{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.ProgressDone}}})
 		case Refuse:
 			refused[org]++
 			assert.Positive(t, o.After)
@@ -87,7 +87,7 @@
 	require.NoError(t, err)
 	assert.InDelta(t, 600, strictest(tab, "s"), 0)
 	p := newPool(tab.Services["s"], 0)
-	a := &wire.WorkAsk{AimMS: 1000, LeftMS: 4000}
+	a := &wire.PlacementRequest{TargetMS: 1000, DeadlineMS: 4000}
 	patient := p.waitLimit(a, &choice{}, 0)
 	p.aim = strictest(tab, "s")
 	assert.InDelta(t, 0.6*patient, p.waitLimit(a, &choice{}, 0), 1)
@@ -103,7 +103,7 @@
 	for no := uint64(2); no < 40; no++ {
 		f.arrive(id, no, engines, "b", 4000)
 	}
-	f.nodes[id].Step(Again{ID: 1, Event: wire.NoteFailed}, f.now)
+	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	f.placed(id, 1)
 	f.arrive(id, 50, engines, "a", 500)
@@ -122,7 +122,7 @@
 	for _, got := range []int{300, 800, 1600, 3200} {
 		p.meter.of(1).got = [shareSteps]float64{}
 		p.meter.grant(1, float64(got), start)
-		limits[got] = p.waitLimit(&wire.WorkAsk{Org: 1, AimMS: 600, LeftMS: 6000}, &choice{}, p.meter.over(1, start))
+		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.over(1, start))
 	}
 	assert.Greater(t, limits[300], limits[800])
 	assert.Greater(t, limits[800], 1.5*limits[1600])
@@ -148,7 +148,7 @@
 	p := newPool(b.Services[0], 0)
 	p.urgency = u
 	limit := func(priority uint8) float64 {
-		return p.waitLimit(&wire.WorkAsk{Org: 1, AimMS: 600, LeftMS: 6000, Priority: priority}, &choice{}, 0)
+		return p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000, Priority: priority}, &choice{}, 0)
 	}
 	assert.Greater(t, limit(0), limit(1))
 	assert.Greater(t, limit(1), limit(2))
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -58,13 +58,13 @@
 }
 
 // backsOff reports whether an upstream wants nothing of the router that asks.
-func (u *upstream) backsOff(a *wire.WorkAsk) bool {
+func (u *upstream) backsOff(a *wire.PlacementRequest) bool {
 	return slices.ContainsFunc(a.Backoffs, func(r wire.Backoff) bool { return r.Upstream == u.id })
 }
 
 // allBackOff reports whether every upstream that could take a request wants nothing of the
 // router that asks.
-func (p *pool) allBackOff(a *wire.WorkAsk) bool {
+func (p *pool) allBackOff(a *wire.PlacementRequest) bool {
 	if len(a.Backoffs) == 0 {
 		return false
 	}
@@ -74,7 +74,7 @@
 }
 
 // leastBackoff is how long it takes until some upstream takes the router's requests again.
-func (p *pool) leastBackoff(a *wire.WorkAsk) time.Duration {
+func (p *pool) leastBackoff(a *wire.PlacementRequest) time.Duration {
 	least := maxComeBack
 	for _, r := range a.Backoffs {
 		if p.ups[r.Upstream] != nil {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -47,7 +47,7 @@
 		f.run(3*time.Second + TickEvery)
 		for no := uint64(1); no <= 8; no++ {
 			for _, from := range f.order {
-				f.nodes[from].Step(End{ID: no, Event: wire.NoteDone}, f.now)
+				f.nodes[from].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 			}
 		}
 		f.deliver()
@@ -68,7 +68,7 @@
 	f.arrive(id, 1, engines, "a", 200)
 	require.Equal(t, "e1", f.placed(id, 1).Instance.ID)
 	delete(f.got[id], 1)
-	f.nodes[id].Step(Again{ID: 1, Event: wire.NoteFailed}, f.now)
+	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	r, refused := f.got[id][1].(Refuse)
 	require.True(t, refused, "%#v", f.got[id][1])
@@ -102,7 +102,7 @@
 	p := f.nodes[id].pools[serviceID(engines)]
 	f.retryAfter(id, "e0", time.Second)
 	for _, u := range p.order {
-		assert.Equal(t, u.inst.ID != "e0", p.acceptsAnswer(wire.WorkAnswer{Upstream: u.id}, nil, f.now))
+		assert.Equal(t, u.inst.ID != "e0", p.acceptsAnswer(wire.PlacementReply{Upstream: u.id}, nil, f.now))
 	}
 }
 
--- a/internal/dispatch/beat.go
+++ b/internal/dispatch/beat.go
@@ -135,12 +135,12 @@
 			continue
 		}
 		w := n.work(id)
-		w.Beat, w.Loads, w.Demand, w.Doubts = n.beats.no, all, demand, doubts
+		w.Heartbeat, w.Loads, w.Demand, w.ColdSuspicions = n.beats.no, all, demand, doubts
 		if placed[id] {
 			w.Loads = n.loadsFor(id)
 		}
 		if heirs[id] {
-			w.Held, w.Models = n.read, models
+			w.CachedParts, w.PrefillModels = n.read, models
 		}
 		n.tellStore(id, now)
 		n.takeNotes(id, w)
@@ -156,7 +156,7 @@
 	n.stateHeld(to)
 	n.tellLeaving(to, now)
 	w.Revision, w.Table = n.complete(), n.tableNumber()
-	w.Sight, w.Blind = n.store.told(now), n.store.isBlind(now)
+	w.Reading, w.StoreUnreachable = n.store.told(now), n.store.isBlind(now)
 }
 
 // complete is the last change of the store's content up to which this router knows all of
@@ -194,7 +194,7 @@
 		w := n.work(id)
 		n.tellStore(id, now)
 		if heirs[n.set.ID] {
-			w.Fleet = n.fleetDemand(now)
+			w.FleetDemand = n.fleetDemand(now)
 		}
 	}
 }
@@ -232,16 +232,16 @@
 // loadsFor is this router's use of upstreams, less what the receiver placed: that one
 // knows it better. A load is up to 200 ms old: counted against what was placed, prompts
 // that have been read meanwhile would seem to wait.
-func (n *Node) loadsFor(to wire.NodeID) []wire.WorkLoad {
-	sums := map[version.ID]*wire.WorkLoad{}
-	var out []wire.WorkLoad
+func (n *Node) loadsFor(to wire.NodeID) []wire.UpstreamLoad {
+	sums := map[version.ID]*wire.UpstreamLoad{}
+	var out []wire.UpstreamLoad
 	for _, f := range n.flights {
 		if f.placed == 0 || f.by == to && !f.orphan {
 			continue
 		}
 		l := sums[f.placed]
 		if l == nil {
-			l = &wire.WorkLoad{Upstream: f.placed}
+			l = &wire.UpstreamLoad{Upstream: f.placed}
 			sums[f.placed] = l
 		}
 		l.Running++
@@ -257,22 +257,22 @@
 }
 
 // heardStore takes what a router knows of the store.
-func (n *Node) heardStore(from wire.NodeID, w *wire.Work, now time.Time) {
-	n.heardBlind(from, w.Blind, now)
+func (n *Node) heardStore(from wire.NodeID, w *wire.Dispatch, now time.Time) {
+	n.heardBlind(from, w.StoreUnreachable, now)
 	n.compare(from, ahead{revision: w.Revision, table: w.Table}, now)
 }
 
 // heardBeat takes a router's regular message.
-func (n *Node) heardBeat(from wire.NodeID, w *wire.Work, now time.Time) {
+func (n *Node) heardBeat(from wire.NodeID, w *wire.Dispatch, now time.Time) {
 	n.applyLoads(from, w.Loads, now)
 	n.heardDemand(from, w.Demand)
-	n.heardModels(w.Models)
-	n.heardDoubts(w.Doubts, now)
+	n.heardModels(w.PrefillModels)
+	n.heardDoubts(w.ColdSuspicions, now)
 	for _, p := range n.pools {
 		if p.engine == nil {
 			continue
 		}
-		for _, h := range w.Held {
+		for _, h := range w.CachedParts {
 			if u := p.ups[h.Upstream]; u != nil {
 				u.touch(now)
 				u.cache.add(h.Part, int(h.Tokens), true, now)
@@ -283,7 +283,7 @@
 }
 
 // applyLoads replaces what a router states of its use of upstreams.
-func (n *Node) applyLoads(from wire.NodeID, loads []wire.WorkLoad, now time.Time) {
+func (n *Node) applyLoads(from wire.NodeID, loads []wire.UpstreamLoad, now time.Time) {
 	for _, p := range n.pools {
 		p.applyLoads(from, loads, now)
 	}
--- a/internal/dispatch/beat_test.go
+++ b/internal/dispatch/beat_test.go
@@ -139,7 +139,7 @@
 		n.Step(Receive{Datagram: &wire.Datagram{From: id, Inc: 1}}, f.now)
 	}
 	assert.Zero(t, n.demandOf(serviceID(counter), f.now))
-	n.Step(Receive{Datagram: &wire.Datagram{From: f.order[0], Inc: 1, Work: &wire.Work{Fleet: []wire.ServiceDemand{{Service: serviceID(counter), Requests: 4}}}}}, f.now)
+	n.Step(Receive{Datagram: &wire.Datagram{From: f.order[0], Inc: 1, Dispatch: &wire.Dispatch{FleetDemand: []wire.ServiceDemand{{Service: serviceID(counter), Requests: 4}}}}}, f.now)
 	assert.InDelta(t, 0.25, n.demandOf(serviceID(counter), f.now), 0.01)
 }
 
@@ -155,7 +155,7 @@
 	n := at("10.1.0.9:1")
 	assert.False(t, n.Watches(start))
 	assert.True(t, n.Watches(start.Add(firstLookLeast+firstLookSpread)), "nobody is heard")
-	n.Step(Receive{Datagram: &wire.Datagram{From: seeds[0], Inc: 1, Work: &wire.Work{Sight: &wire.StoreSight{By: seeds[0], Inc: 1, No: 1}}}}, start)
+	n.Step(Receive{Datagram: &wire.Datagram{From: seeds[0], Inc: 1, Dispatch: &wire.Dispatch{Reading: &wire.StoreReading{Reader: seeds[0], Inc: 1, No: 1}}}}, start)
 	assert.False(t, n.Watches(start.Add(settleFor-time.Millisecond)))
 	assert.True(t, n.Watches(start.Add(10*time.Second)), "the seeds read it no more")
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -27,14 +27,14 @@
 	}
 	p.setInstances(list)
 	now := start
-	ask := func(no int) (wire.NodeID, *wire.WorkAsk) {
+	ask := func(no int) (wire.NodeID, *wire.PlacementRequest) {
 		parts := []wire.PromptPart{{Part: uint64(no % 4), Tokens: 2520}, {Part: uint64(100 + no%263), Tokens: 3780}, {Part: uint64(10_000 + no), Tokens: 2890}}
-		return wire.NodeID(fmt.Sprint(no % 58)), &wire.WorkAsk{No: uint64(no), Try: 1, Org: 1, Place: version.IDOf(fmt.Sprint(no % 3)), Input: 9190, Output: 50, AimMS: 600, LeftMS: 6000, Parts: parts}
+		return wire.NodeID(fmt.Sprint(no % 58)), &wire.PlacementRequest{No: uint64(no), Try: 1, Org: 1, Place: version.IDOf(fmt.Sprint(no % 3)), Input: 9190, Output: 50, TargetMS: 600, DeadlineMS: 6000, Parts: parts}
 	}
 	end := func(no int) {
 		from, _ := ask(no)
-		p.note(from, wire.WorkNote{No: uint64(no), Event: wire.NoteFirst, FirstMS: 100}, now)
-		p.note(from, wire.WorkNote{No: uint64(no), Event: wire.NoteDone}, now)
+		p.note(from, wire.ProgressNote{No: uint64(no), Event: wire.ProgressFirstEvent, FirstMS: 100}, now)
+		p.note(from, wire.ProgressNote{No: uint64(no), Event: wire.ProgressDone}, now)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/dispatch/booked.go
+++ b/internal/dispatch/booked.go
@@ -38,12 +38,12 @@
 }
 
 // newsFor is what a router does not know yet.
-func (b *booked) newsFor(to wire.NodeID, service version.ID) []wire.Unasked {
-	var out []wire.Unasked
+func (b *booked) newsFor(to wire.NodeID, service version.ID) []wire.LocalUsage {
+	var out []wire.LocalUsage
 	for org, s := range b.sums {
 		own := b.own[to][org]
-		row := wire.Unasked{Service: service, Org: org, Wanted: int64(s.wanted - own.wanted), Placed: int64(s.placed - own.placed)}
-		if row.Wanted != 0 || row.Placed != 0 {
+		row := wire.LocalUsage{Service: service, Org: org, Requested: int64(s.wanted - own.wanted), Placed: int64(s.placed - own.placed)}
+		if row.Requested != 0 || row.Placed != 0 {
 			out = append(out, row)
 		}
 	}
@@ -68,7 +68,7 @@
 		if heirs := n.heirsOf(p.id, now); len(heirs) > 0 && heirs[0] == n.set.ID {
 			for _, id := range heirs[1:] {
 				w := n.work(id)
-				w.Booked = append(w.Booked, p.meter.booked.newsFor(id, p.id)...)
+				w.RecordedUsage = append(w.RecordedUsage, p.meter.booked.newsFor(id, p.id)...)
 			}
 		}
 		p.meter.booked.clear()
@@ -76,10 +76,10 @@
 }
 
 // heardBooked takes what a scheduler has booked.
-func (n *Node) heardBooked(rows []wire.Unasked, now time.Time) {
+func (n *Node) heardBooked(rows []wire.LocalUsage, now time.Time) {
 	for _, r := range rows {
 		if p := n.pools[r.Service]; p != nil && p.engine != nil {
-			p.meter.ask(r.Org, float64(r.Wanted), now)
+			p.meter.ask(r.Org, float64(r.Requested), now)
 			p.meter.grant(r.Org, float64(r.Placed), now)
 		}
 	}
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -43,7 +43,7 @@
 		after := 125 * time.Millisecond // as the model has it from the start
 		f.run(after.Round(TickEvery))
 		f.nodes[id].Step(First{ID: no, After: after}, f.now)
-		f.nodes[id].Step(End{ID: no, Event: wire.NoteDone}, f.now)
+		f.nodes[id].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 		return true
 	}
 	assert.True(t, read("flood"))
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -59,7 +59,7 @@
 			f.arrive(id, *no, engines, "a", 100)
 			if p, placed := f.got[id][*no].(Place); placed {
 				got[p.Instance.ID] = append(got[p.Instance.ID], f.now)
-				f.nodes[id].Step(End{ID: *no, Event: wire.NoteDone}, f.now)
+				f.nodes[id].Step(End{ID: *no, Event: wire.ProgressDone}, f.now)
 			}
 		}
 		f.run(TickEvery)
@@ -116,7 +116,7 @@
 		f.arrive(id, no+1, engines, "a", 100)
 		f.run(300 * time.Millisecond)
 		assert.Equal(t, "e1", f.placed(id, no+1).Instance.ID)
-		f.nodes[id].Step(End{ID: no + 1, Event: wire.NoteDone}, f.now)
+		f.nodes[id].Step(End{ID: no + 1, Event: wire.ProgressDone}, f.now)
 	}
 	f.turnCold(2, 30*time.Second, 0, 1)
 	f.arrive(id, 100, engines, "a", 100)
@@ -200,16 +200,16 @@
 		f.run(100 * time.Millisecond)
 	}
 	for no := range uint64(30) {
-		end(no+1, wire.NoteFailed)
+		end(no+1, wire.ProgressFailed)
 	}
 	until, why := u.coldUntil()
 	assert.Equal(t, ColdSilent, why)
 	assert.True(t, until.After(f.now))
 	f.run(time.Second)
-	end(100, wire.NoteDone)
+	end(100, wire.ProgressDone)
 	until, _ = u.coldUntil()
 	assert.Equal(t, 3*time.Second-100*time.Millisecond, until.Sub(f.now), "it has started by its first answer")
-	end(101, wire.NoteDone)
+	end(101, wire.ProgressDone)
 	again, _ := u.coldUntil()
 	assert.Equal(t, until, again)
 }
@@ -220,9 +220,9 @@
 	id := f.scheduler()
 	for no := range uint64(120) {
 		f.arrive(id, no+1, engines, "a", 100)
-		event := wire.NoteDone
+		event := wire.ProgressDone
 		if no%4 != 0 {
-			event = wire.NoteFailed
+			event = wire.ProgressFailed
 		}
 		f.nodes[id].Step(End{ID: no + 1, Event: event}, f.now)
 		f.run(50 * time.Millisecond)
@@ -271,7 +271,7 @@
 		if f.placed(id, no+1).Instance.ID == "c0" {
 			got = append(got, f.now)
 		}
-		f.nodes[id].Step(End{ID: no + 1, Event: wire.NoteDone}, f.now)
+		f.nodes[id].Step(End{ID: no + 1, Event: wire.ProgressDone}, f.now)
 		f.run(TickEvery)
 	}
 	assert.LessOrEqual(t, mostIn(got), 9)
--- a/internal/dispatch/cold_world_test.go
+++ b/internal/dispatch/cold_world_test.go
@@ -295,14 +295,14 @@
 	i := slices.IndexFunc(known.list, func(i routing.Instance) bool { return i.Start() == s.place.Instance.Start() })
 	closed := slices.ContainsFunc(known.evacuated, func(e routing.Evacuation) bool { return e.Place == s.place.Instance.Place })
 	if i < 0 || closed || !s.place.MaySend(known.list[i].ColdUntil, d.now) {
-		n.Step(Again{ID: s.place.ID, Event: wire.NoteUnused}, d.now)
+		n.Step(Again{ID: s.place.ID, Event: wire.ProgressUnused}, d.now)
 		return
 	}
 	since := d.now.Sub(d.began.Add(coldAt))
 	isCold := s.place.Instance.Place == "p" && since >= 0 && since < coldFor
 	if s.place.Look && isCold {
 		n.Step(Looked{Instance: s.place.Instance, ColdFor: coldFor - since}, d.now)
-		n.Step(Again{ID: s.place.ID, Event: wire.NoteUnused}, d.now)
+		n.Step(Again{ID: s.place.ID, Event: wire.ProgressUnused}, d.now)
 		return
 	}
 	down := d.how != coldReturns && since > -downFor && since < 0
@@ -316,7 +316,7 @@
 		d.arrived[s.place.Instance.ID] = append(d.arrived[s.place.Instance.ID], s)
 	}
 	n.Step(First{ID: s.place.ID, After: 20 * time.Millisecond}, d.now)
-	n.Step(End{ID: s.place.ID, Event: wire.NoteDone}, d.now)
+	n.Step(End{ID: s.place.ID, Event: wire.ProgressDone}, d.now)
 }
 
 // failsAfter is how long an upstream that is down leaves a router waiting: it refuses
@@ -330,9 +330,9 @@
 
 // endFailed ends the requests whose upstream is down.
 func (d *drawn) endFailed() {
-	event := wire.NoteRefused
+	event := wire.ProgressRefused
 	if d.how == coldDark {
-		event = wire.NoteFailed
+		event = wire.ProgressFailed
 	}
 	for len(d.fails) > 0 && !d.now.Before(d.fails[0].at) {
 		f := d.fails[0]
--- a/internal/dispatch/coldreasons.go
+++ b/internal/dispatch/coldreasons.go
@@ -73,14 +73,14 @@
 // doubts returns this router's own reasons to take upstreams for cold, for those that may
 // schedule next. Load pattern: an upstream is down for two seconds, its scheduler is killed
 // or cut off, and it starts again under the entry that it had.
-func (n *Node) doubts(now time.Time) (out []wire.Doubt) {
+func (n *Node) doubts(now time.Time) (out []wire.ColdSuspicion) {
 	for _, p := range n.pools {
 		if p.cold.PerSecond <= 0 {
 			continue
 		}
 		for _, u := range p.order {
 			if u.cold.until.After(now) && u.cold.why != ColdTold {
-				out = append(out, wire.Doubt{Upstream: u.id, ForMS: leftMS(u.cold.until, now)})
+				out = append(out, wire.ColdSuspicion{Upstream: u.id, ForMS: leftMS(u.cold.until, now)})
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 const mostDoubt = 10 * time.Second
 
 // heardDoubts takes another router's.
-func (n *Node) heardDoubts(list []wire.Doubt, now time.Time) {
+func (n *Node) heardDoubts(list []wire.ColdSuspicion, now time.Time) {
 	for _, d := range list {
 		for _, p := range n.pools {
 			if u := p.ups[d.Upstream]; u != nil && p.cold.PerSecond > 0 {
@@ -105,7 +105,7 @@
 // had placed the request: that one may be out of reach next.
 func (n *Node) sawRefusal(f *flight, event uint8, now time.Time) {
 	p := n.pools[f.pool]
-	if p == nil || f.by == n.set.ID || event != wire.NoteRefused {
+	if p == nil || f.by == n.set.ID || event != wire.ProgressRefused {
 		return
 	}
 	if u := p.ups[f.placed]; u != nil {
--- a/internal/dispatch/conns_test.go
+++ b/internal/dispatch/conns_test.go
@@ -34,7 +34,7 @@
 		assert.Equal(t, u.inst.ID, f.placed(id, uint64(i)).Instance.ID)
 		assert.False(t, u.conns.kept(id, f.now), "it is in use")
 		f.nodes[id].Step(First{ID: uint64(i), After: 30 * time.Millisecond}, f.now)
-		f.nodes[id].Step(End{ID: uint64(i), Event: wire.NoteDone}, f.now)
+		f.nodes[id].Step(End{ID: uint64(i), Event: wire.ProgressDone}, f.now)
 		assert.True(t, u.conns.kept(id, f.now), "and kept again")
 		clear(u.conns.until)
 	}
--- a/internal/dispatch/covered.go
+++ b/internal/dispatch/covered.go
@@ -57,7 +57,7 @@
 	if w.at.IsZero() || n.aloneOver(p, org, now) < 1 {
 		return 1
 	}
-	return coverRoom * float64(w.Share) / max(1, float64(w.Asked))
+	return coverRoom * float64(w.Share) / max(1, float64(w.Requested))
 }
 
 // coveredByShare is the part that the share covers, by the meter of the scheduler itself.
--- a/internal/dispatch/covered_test.go
+++ b/internal/dispatch/covered_test.go
@@ -19,9 +19,9 @@
 	n.reports.names[org] = "flood"
 	p.here.ask(org, 100_000, f.now)
 	assert.Empty(t, n.Covered(f.now), "nothing was said of it")
-	n.heardWords([]wire.ShareWord{{Service: p.id, Org: org, Over: 120, Share: 10_000, Asked: 100_000}}, f.now)
+	n.heardWords([]wire.ShareUpdate{{Service: p.id, Org: org, SharePercent: 120, Share: 10_000, Requested: 100_000}}, f.now)
 	assert.Equal(t, []Covered{{Service: engines, Org: "flood", Part: coverRoom * 0.1}}, n.Covered(f.now))
-	n.heardWords([]wire.ShareWord{{Service: p.id, Org: org, Over: 90, Share: 10_000, Asked: 100_000}}, f.now)
+	n.heardWords([]wire.ShareUpdate{{Service: p.id, Org: org, SharePercent: 90, Share: 10_000, Requested: 100_000}}, f.now)
 	assert.Empty(t, n.Covered(f.now), "it has not had its share")
 
 	s := f.nodes[f.scheduler()]
@@ -42,7 +42,7 @@
 	n := f.nodes[id]
 	p := n.pools[serviceID(engines)]
 	org := version.IDOf("flood")
-	n.words.heard[orgAt{p.id, org}] = heardWord{wire.ShareWord{Service: p.id, Org: org, Over: 400, Share: 10_000, Asked: 1_000_000}, f.now}
+	n.words.heard[orgAt{p.id, org}] = heardWord{wire.ShareUpdate{Service: p.id, Org: org, SharePercent: 400, Share: 10_000, Requested: 1_000_000}, f.now}
 	here := p.here.at(org, f.now)
 	here.asked, here.got = [shareSteps]float64{1_000_000}, [shareSteps]float64{40_000}
 	assert.InDelta(t, coverRoom*0.04, n.coveredHere(p, org, f.now), 1e-9)
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -108,7 +108,7 @@
 // stateHeld tells a router what this one holds, as one number.
 func (n *Node) stateHeld(to wire.NodeID) {
 	c := n.box.Crashes(to)
-	c.Stated, c.Sum = true, n.crashes.Sum()
+	c.HasChecksum, c.Checksum = true, n.crashes.Checksum()
 }
 
 // reportCrashes hands over what has changed, for the log.
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -59,7 +59,7 @@
 func TestThirdCrashIsKnownToAllAtOnce(t *testing.T) {
 	f := newFleet(t, 6, 5)
 	list := instances(5)
-	for i := range quarantine.HoldAfter {
+	for i := range quarantine.HoldAfterCrashes {
 		assert.Zero(t, f.holders(guilty))
 		f.crash(f.order[i], guilty, list[i])
 		f.run(2 * TickEvery)
@@ -85,7 +85,7 @@
 		f := newFleet(t, 1, 4)
 		id := f.order[0]
 		all := instances(4)
-		for i := range quarantine.HoldAfter {
+		for i := range quarantine.HoldAfterCrashes {
 			if draining {
 				all[i].Draining = true
 				f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: all, Revision: 6, AsOf: 9}, f.now)
@@ -144,7 +144,7 @@
 	list := instances(5)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	f.lose = func() bool { return rnd.IntN(10) == 0 }
-	for i := range quarantine.HoldAfter {
+	for i := range quarantine.HoldAfterCrashes {
 		f.crash(f.order[i], guilty, list[i])
 	}
 	f.run(350 * time.Millisecond)
@@ -158,7 +158,7 @@
 	list := instances(8)
 	away := f.order[3]
 	f.cut[away] = true
-	for i := range quarantine.HoldAfter {
+	for i := range quarantine.HoldAfterCrashes {
 		f.crash(f.order[i], guilty, list[i])
 	}
 	f.run(3 * time.Second)
@@ -176,7 +176,7 @@
 // ready for callers.
 func TestRouterThatStartsAgainLearnsWhatIsHeld(t *testing.T) {
 	f := newFleet(t, 3, 8)
-	for i := range quarantine.HoldAfter {
+	for i := range quarantine.HoldAfterCrashes {
 		f.crash(f.order[i], guilty, instances(8)[i])
 	}
 	f.run(time.Second)
@@ -191,7 +191,7 @@
 // words: callers that know its address come before the balancer sends any.
 func TestRouterThatStartsTwiceIsToldTwice(t *testing.T) {
 	f := newFleet(t, 3, 8)
-	for i := range quarantine.HoldAfter {
+	for i := range quarantine.HoldAfterCrashes {
 		f.crash(f.order[i], guilty, instances(8)[i])
 	}
 	f.run(time.Second)
@@ -207,7 +207,7 @@
 // The same in a fleet where only some routers tell everyone, in turn.
 func TestLargeFleetHoldsWhatThreeRoutersSaw(t *testing.T) {
 	f := newFleet(t, meshUpTo+8, 8)
-	for i := range quarantine.HoldAfter {
+	for i := range quarantine.HoldAfterCrashes {
 		f.crash(f.order[i], guilty, instances(8)[i])
 		f.run(2 * TickEvery)
 	}
@@ -263,7 +263,7 @@
 	const (
 		engineCount = 24
 		sessions    = 400
-		outages     = 3 * quarantine.HoldAfter
+		outages     = 3 * quarantine.HoldAfterCrashes
 		rack        = engineCount / 3
 		mostHeld    = sessions * 5 / 100
 	)
@@ -319,7 +319,7 @@
 		no := uint64(100 + i)
 		f.arrive(id, no, engines, "alpha", 5000)
 		placed := f.placed(id, no)
-		n.Step(End{ID: no, Event: wire.NoteFailed}, f.now)
+		n.Step(End{ID: no, Event: wire.ProgressFailed}, f.now)
 		f.crash(id, guilty, placed.Instance)
 		var left []routing.Instance
 		for _, inst := range all {
@@ -354,7 +354,7 @@
 		var after []float64 // milliseconds
 		for no := range 20 {
 			content := fingerprint.Fingerprint(1000 + no)
-			for i := range quarantine.HoldAfter {
+			for i := range quarantine.HoldAfterCrashes {
 				inst := routing.Instance{ID: fmt.Sprintf("x%d-%d", no, i), Service: engines, Address: "10.0.0.9:1", Place: "p"}
 				f.crash(f.order[(no+i)%routers], content, inst)
 			}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, 9000, first.Work)
 	f.nodes[a].Step(First{ID: 1, After: 300 * time.Millisecond}, f.now)
 	f.run(300 * time.Millisecond)
-	f.nodes[a].Step(End{ID: 1, Event: wire.NoteDone}, f.now)
+	f.nodes[a].Step(End{ID: 1, Event: wire.ProgressDone}, f.now)
 	f.arrive(b, 1, engines, "b", 8000, parts...)
 	second := f.placed(b, 1)
 	assert.Equal(t, first.Instance.ID, second.Instance.ID)
@@ -90,7 +90,7 @@
 func TestAnAskThatIsRepeatedCountsOnce(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	s, id := f.scheduler(), f.other()
-	ask := wire.WorkAsk{No: 1, Try: 1, Service: serviceID(engines), Org: 3, Input: 1000, AimMS: 600, LeftMS: 6000}
+	ask := wire.PlacementRequest{No: 1, Try: 1, Service: serviceID(engines), Org: 3, Input: 1000, TargetMS: 600, DeadlineMS: 6000}
 	for range 3 {
 		f.nodes[s].answer(id, &ask, f.now)
 	}
@@ -139,9 +139,9 @@
 		f.arrive(id, no+1, engines, "a", 3000)
 		f.run(120 * time.Millisecond)
 		for _, each := range []uint64{no, no + 1} {
-			event := wire.NoteDone
+			event := wire.ProgressDone
 			if f.placed(id, each).Instance.ID == bad {
-				event = wire.NoteFailed
+				event = wire.ProgressFailed
 				failed++
 			} else {
 				f.nodes[id].Step(First{ID: each, After: map[bool]time.Duration{true: 40, false: 120}[each == no] * time.Millisecond}, f.now)
@@ -194,7 +194,7 @@
 	id := f.order[0]
 	f.arrive(id, 1, engines, "a", 500)
 	first := f.placed(id, 1).Instance.ID
-	f.nodes[id].Step(Again{ID: 1, Event: wire.NoteFailed}, f.now)
+	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	assert.NotEqual(t, first, f.placed(id, 1).Instance.ID)
 }
@@ -314,7 +314,7 @@
 		open = append(open, no)
 		f.nodes[id].Step(First{ID: no, After: after}, f.now)
 		if len(open) > 4 { // four at a time
-			f.nodes[id].Step(End{ID: open[0], Event: wire.NoteDone}, f.now)
+			f.nodes[id].Step(End{ID: open[0], Event: wire.ProgressDone}, f.now)
 			open = open[1:]
 		}
 		f.run(TickEvery)
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -86,7 +86,7 @@
 	require.Equal(t, "p", f.placed(id, 1).Instance.Place)
 	f.publishAll(list, "p")
 	f.nodes[id].Step(NewSettings{Retry: RetryRules{Window: time.Second}}, f.now)
-	f.nodes[id].Step(Again{ID: 1, Event: wire.NoteUnused}, f.now)
+	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressUnused}, f.now)
 	f.deliver()
 	assert.Equal(t, "q", f.placed(id, 1).Instance.Place)
 }
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -76,27 +76,27 @@
 func (n *Node) ask(f *flight, now time.Time) {
 	f.sent = now
 	w := n.work(f.by)
-	w.Asks = append(w.Asks, n.askOf(f, now))
+	w.PlacementRequests = append(w.PlacementRequests, n.askOf(f, now))
 	w.Backoffs = n.allBackoffs(now)
 	n.takeNotes(f.by, w)
 }
 
-func (n *Node) askOf(f *flight, now time.Time) wire.WorkAsk {
+func (n *Node) askOf(f *flight, now time.Time) wire.PlacementRequest {
 	r := &f.req
-	return wire.WorkAsk{
-		No:       r.ID,
-		Try:      f.try,
-		Service:  f.pool,
-		Org:      version.IDOf(r.Org),
-		Place:    n.place,
-		Input:    uint32(r.Input),
-		Output:   uint32(r.Output),
-		AimMS:    leftMS(r.Aim, now),
-		LeftMS:   leftMS(r.Deadline, now),
-		Priority: uint8(min(max(r.Priority, 0), 255)),
-		Parts:    r.Parts,
-		Avoid:    f.avoid,
-		Regions:  regionIDs(r.Regions),
+	return wire.PlacementRequest{
+		No:         r.ID,
+		Try:        f.try,
+		Service:    f.pool,
+		Org:        version.IDOf(r.Org),
+		Place:      n.place,
+		Input:      uint32(r.Input),
+		Output:     uint32(r.Output),
+		TargetMS:   leftMS(r.Aim, now),
+		DeadlineMS: leftMS(r.Deadline, now),
+		Priority:   uint8(min(max(r.Priority, 0), 255)),
+		Parts:      r.Parts,
+		Avoid:      f.avoid,
+		Regions:    regionIDs(r.Regions),
 	}
 }
 
@@ -192,7 +192,7 @@
 func (n *Node) silentScheduler(f *flight, now time.Time) {
 	n.Counts.OwnDecision++
 	n.gaveUp[f.req.ID] = givenUp{f.try, f.asked}
-	if m := n.members.Get(f.by); n.mayBlame(now) && (m == nil || m.Heard.Before(f.asked)) {
+	if m := n.members.Get(f.by); n.mayBlame(now) && (m == nil || m.Received.Before(f.asked)) {
 		n.blame(f.by, now)
 	}
 	p := n.pools[f.pool]
@@ -236,8 +236,8 @@
 		return
 	}
 	f.avoid = append(f.avoid, f.placed)
-	n.tell(f, wire.WorkNote{No: f.req.ID, Event: in.Event}, now)
-	if in.Event != wire.NoteUnused && !n.budget(f.pool).take(n.fleetSize(), n.demandOf(f.pool, now), now) {
+	n.tell(f, wire.ProgressNote{No: f.req.ID, Event: in.Event}, now)
+	if in.Event != wire.ProgressUnused && !n.budget(f.pool).take(n.fleetSize(), n.demandOf(f.pool, now), now) {
 		n.refuse(f, verdict{why: ReasonBudget, after: budgetComeBack}, n.set.ID)
 		return
 	}
@@ -264,7 +264,7 @@
 		return
 	}
 	f.first = true
-	n.tell(f, wire.WorkNote{No: f.req.ID, Event: wire.NoteFirst, FirstMS: uint32(in.After.Milliseconds())}, now)
+	n.tell(f, wire.ProgressNote{No: f.req.ID, Event: wire.ProgressFirstEvent, FirstMS: uint32(in.After.Milliseconds())}, now)
 	if f.by == n.set.ID {
 		n.toldRead(f.placed, f.req.Parts)
 	}
@@ -277,7 +277,7 @@
 	}
 	delete(n.flights, in.ID)
 	if f.placed != 0 {
-		n.tell(f, wire.WorkNote{No: f.req.ID, Event: in.Event}, now)
+		n.tell(f, wire.ProgressNote{No: f.req.ID, Event: in.Event}, now)
 	}
 }
 
@@ -292,8 +292,8 @@
 }
 
 // tell brings news of a run to the router that placed it.
-func (n *Node) tell(f *flight, note wire.WorkNote, now time.Time) {
-	if !f.first && (note.Event == wire.NoteUnused || wire.IsFailure(note.Event)) {
+func (n *Node) tell(f *flight, note wire.ProgressNote, now time.Time) {
+	if !f.first && (note.Event == wire.ProgressUnused || wire.IsFailure(note.Event)) {
 		n.takeBackHere(f, now)
 	}
 	n.sawRefusal(f, note.Event, now)
@@ -310,8 +310,8 @@
 }
 
 // takeNotes moves waiting news into a datagram that goes to their receiver.
-func (n *Node) takeNotes(id wire.NodeID, w *wire.Work) {
-	w.Notes = append(w.Notes, n.notes[id]...)
+func (n *Node) takeNotes(id wire.NodeID, w *wire.Dispatch) {
+	w.ProgressNotes = append(w.ProgressNotes, n.notes[id]...)
 	delete(n.notes, id)
 }
 
@@ -327,6 +327,6 @@
 		if len(n.read) >= maxTold {
 			return
 		}
-		n.read = append(n.read, wire.HeldPart{Upstream: up, Part: part.Part, Tokens: part.Tokens})
+		n.read = append(n.read, wire.CachedPartUpdate{Upstream: up, Part: part.Part, Tokens: part.Tokens})
 	}
 }
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -52,7 +52,7 @@
 	f.nodes[id].Step(Strained{On: true}, f.now)
 	f.run(300 * time.Millisecond)
 	assert.Zero(t, p.order[0].backlog(p.learner.Model(), f.now))
-	f.nodes[id].Step(End{ID: 1, Event: wire.NoteDone}, f.now)
+	f.nodes[id].Step(End{ID: 1, Event: wire.ProgressDone}, f.now)
 	f.run(100 * time.Millisecond)
 	assert.Zero(t, p.order[0].queue.Len())
 }
@@ -64,7 +64,7 @@
 	n := f.nodes[f.order[0]]
 	p := n.pools[serviceID(engines)]
 	u := p.order[0]
-	u.change("10.9.9.9:1", func(n *nodeUse) { n.load = wire.WorkLoad{Running: 3, Unread: 4000} })
+	u.change("10.9.9.9:1", func(n *nodeUse) { n.load = wire.UpstreamLoad{Running: 3, Unread: 4000} })
 	stated := u.stated(p.learner.Model(), f.now)
 	require.Greater(t, stated, 50.0)
 	half := time.Duration(stated/2) * time.Millisecond
@@ -113,13 +113,13 @@
 			n.Tick(f.now)
 			f.deliver()
 			if f.now.Sub(asked) == 100*time.Millisecond {
-				n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Answers: []wire.WorkAnswer{{No: no, Try: 1}}}}}, f.now)
+				n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{PlacementReplies: []wire.PlacementReply{{No: no, Try: 1}}}}}, f.now)
 				f.deliver()
 			}
 		}
 		if try, late := n.gaveUp[no]; late {
 			f.now = asked.Add(100 * time.Millisecond)
-			n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Answers: []wire.WorkAnswer{{No: no, Try: try.try}}}}}, f.now)
+			n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{PlacementReplies: []wire.PlacementReply{{No: no, Try: try.try}}}}}, f.now)
 		}
 		f.run(TickEvery)
 	}
--- a/internal/dispatch/leaving.go
+++ b/internal/dispatch/leaving.go
@@ -92,5 +92,5 @@
 		list = append(list, id)
 	}
 	slices.Sort(list)
-	n.box.To(to).Drains = list
+	n.box.To(to).DrainingUpstreams = list
 }
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -95,7 +95,7 @@
 	f := newFleet(t, 20, 2)
 	id := f.other()
 	told := 0
-	f.onSend = func(_ wire.NodeID, s Send) { told += len(s.Datagram.Drains) }
+	f.onSend = func(_ wire.NodeID, s Send) { told += len(s.Datagram.DrainingUpstreams) }
 	f.nodes[id].Step(SaysLeaving{Instance: f.instanceOf(id, "e0")}, f.now)
 	f.run(2 * leaverToldFor)
 	assert.Positive(t, told)
--- a/internal/dispatch/look.go
+++ b/internal/dispatch/look.go
@@ -64,7 +64,7 @@
 }
 
 // candidates returns the upstreams that a decision looks at.
-func (p *pool) candidates(a *wire.WorkAsk, now time.Time) []*upstream {
+func (p *pool) candidates(a *wire.PlacementRequest, now time.Time) []*upstream {
 	if p.isSmall() {
 		return p.order
 	}
@@ -79,7 +79,7 @@
 }
 
 // looksAt is how many upstreams of a place are looked at: of the caller's own, or of another.
-func looksAt(set *placeSet, a *wire.WorkAsk, own, away int) int {
+func looksAt(set *placeSet, a *wire.PlacementRequest, own, away int) int {
 	if set.id == a.Place {
 		return own
 	}
@@ -87,7 +87,7 @@
 }
 
 // addHolders takes those that keep parts of the prompt, the longest beginnings first.
-func (p *pool) addHolders(a *wire.WorkAsk) {
+func (p *pool) addHolders(a *wire.PlacementRequest) {
 	if p.engine == nil || p.without.Parts {
 		return
 	}
@@ -111,7 +111,7 @@
 
 // addUnused takes the next upstream that is not in use and takes the request, if there is
 // one nearby. It is the same in each decision until it is used.
-func (p *pool) addUnused(s *placeSet, a *wire.WorkAsk, now time.Time) {
+func (p *pool) addUnused(s *placeSet, a *wire.PlacementRequest, now time.Time) {
 	if len(s.inUse) == len(s.all) {
 		return
 	}
@@ -127,7 +127,7 @@
 
 // others returns upstreams beyond the candidates that take a request, where none of the
 // candidates does.
-func (p *pool) others(a *wire.WorkAsk, rested bool, now time.Time) []*upstream {
+func (p *pool) others(a *wire.PlacementRequest, rested bool, now time.Time) []*upstream {
 	l := &p.look
 	l.list = l.list[:0]
 	first := int(l.no % uint64(len(p.order)))
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -96,7 +96,7 @@
 	ranks   map[version.ID]*ranking
 	silent  map[wire.NodeID]time.Time // until when a router is passed over
 	ahead   map[wire.NodeID]ahead
-	read    []wire.HeldPart // since the last regular message
+	read    []wire.CachedPartUpdate // since the last regular message
 	unasked unaskedWork
 	demands demands
 	words   words
@@ -109,7 +109,7 @@
 
 	upstreamPlaces map[string]bool // in which upstreams stand
 
-	notes   map[wire.NodeID][]wire.WorkNote
+	notes   map[wire.NodeID][]wire.ProgressNote
 	noteDue time.Time
 	beats   beats
 	fleet   fleetDemands
@@ -161,7 +161,7 @@
 		ranks:     map[version.ID]*ranking{},
 		ahead:     map[wire.NodeID]ahead{},
 		store:     newStoreSights(),
-		notes:     map[wire.NodeID][]wire.WorkNote{},
+		notes:     map[wire.NodeID][]wire.ProgressNote{},
 		lastTick:  now,
 		rnd:       rnd,
 		unasked:   newUnaskedWork(),
@@ -237,7 +237,7 @@
 	n.tickLate(now)
 	n.tickStated(now)
 	for _, s := range n.members.Tick(now) {
-		n.box.Post(s)
+		n.box.Add(s)
 	}
 	n.tickFlights(now)
 	n.tickFetch(now)
@@ -246,7 +246,7 @@
 	n.tickInherit(now)
 	n.tickReports(now)
 	n.tickCold(now)
-	n.box.TellCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
+	n.box.SendCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
 	n.tickBeat(now)
 }
 
@@ -280,7 +280,7 @@
 
 func (n *Node) newSettings(in NewSettings, now time.Time) {
 	n.set.Seeds = in.Seeds
-	n.members.Meet(in.Seeds, now)
+	n.members.Add(in.Seeds, now)
 	n.set.Cold = in.Cold
 	if in.Retry != n.set.Retry {
 		n.set.Retry = in.Retry
@@ -338,17 +338,17 @@
 func (n *Node) event(e Event) { n.out = append(n.out, e) }
 
 // work returns the work part of the datagram being filled for a router.
-func (n *Node) work(id wire.NodeID) *wire.Work {
+func (n *Node) work(id wire.NodeID) *wire.Dispatch {
 	d := n.box.To(id)
-	if d.Work == nil {
-		d.Work = &wire.Work{Late: n.lateness.told}
+	if d.Dispatch == nil {
+		d.Dispatch = &wire.Dispatch{Overloaded: n.lateness.told}
 	}
-	return d.Work
+	return d.Dispatch
 }
 
 // seal hands every datagram over to be sent.
 func (n *Node) seal() {
-	n.box.Seal(n.members, func(to wire.NodeID, d *wire.Datagram) {
+	n.box.Flush(n.members, func(to wire.NodeID, d *wire.Datagram) {
 		n.out = append(n.out, Send{To: to, Datagram: d})
 	})
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -35,7 +35,7 @@
 // takes reports whether an upstream may be given this work at all. One that rests
 // after failures is passed over, unless rested says that all that could take it do:
 // a try there is better than a refusal. One that backs off is not tried.
-func (u *upstream) takes(a *wire.WorkAsk, rested bool, now time.Time) bool {
+func (u *upstream) takes(a *wire.PlacementRequest, rested bool, now time.Time) bool {
 	if u.closed() || !u.mayRun(a.Regions) || u.rest.resting(now) && !rested || u.backsOff(a) {
 		return false
 	}
@@ -99,7 +99,7 @@
 }
 
 // choose returns the best upstreams, or nil when none takes work.
-func (p *pool) choose(from wire.NodeID, a *wire.WorkAsk, now time.Time) *choices {
+func (p *pool) choose(from wire.NodeID, a *wire.PlacementRequest, now time.Time) *choices {
 	if c := p.chooseOf(from, a, false, now); c != nil {
 		return c
 	}
@@ -107,7 +107,7 @@
 }
 
 // chooseOf is choose among those that do not rest, or among all.
-func (p *pool) chooseOf(from wire.NodeID, a *wire.WorkAsk, rested bool, now time.Time) *choices {
+func (p *pool) chooseOf(from wire.NodeID, a *wire.PlacementRequest, rested bool, now time.Time) *choices {
 	look := p.candidates(a, now)
 	best := p.bestOf(look, from, a, rested, now)
 	if best == nil && !p.isSmall() {
@@ -117,7 +117,7 @@
 }
 
 // bestOf returns the best of some upstreams, or nil when none takes work.
-func (p *pool) bestOf(look []*upstream, from wire.NodeID, a *wire.WorkAsk, rested bool, now time.Time) *choices {
+func (p *pool) bestOf(look []*upstream, from wire.NodeID, a *wire.PlacementRequest, rested bool, now time.Time) *choices {
 	if p.engine == nil {
 		if c := p.choosePlain(look, a, rested, now); c != nil {
 			return &choices{soonest: *c, near: *c}
@@ -138,7 +138,7 @@
 }
 
 // hasRoom reports whether an upstream takes a request now.
-func (p *pool) hasRoom(u *upstream, a *wire.WorkAsk, rested bool, now time.Time) bool {
+func (p *pool) hasRoom(u *upstream, a *wire.PlacementRequest, rested bool, now time.Time) bool {
 	if !u.takes(a, rested, now) || !p.coldRoom(u, now) {
 		return false
 	}
@@ -174,7 +174,7 @@
 
 // lookUp notes at some engines how much of the prompt each keeps, and returns the one that
 // keeps most of it read.
-func (p *pool) lookUp(look []*upstream, a *wire.WorkAsk, now time.Time) *upstream {
+func (p *pool) lookUp(look []*upstream, a *wire.PlacementRequest, now time.Time) *upstream {
 	var holder *upstream
 	for _, u := range look {
 		u.kept, u.ready = 0, 0
@@ -193,7 +193,7 @@
 }
 
 // at works out what a request would meet at an engine.
-func (p *pool) at(u *upstream, from wire.NodeID, a *wire.WorkAsk, holder *upstream, now time.Time) choice {
+func (p *pool) at(u *upstream, from wire.NodeID, a *wire.PlacementRequest, holder *upstream, now time.Time) choice {
 	m := p.learner.Model()
 	c := choice{up: u, waitMS: u.backlog(m, now)}
 	kept, fetched := u.kept, 0
@@ -242,7 +242,7 @@
 }
 
 // choosePlain returns the best of some plain upstreams, or nil when none takes work.
-func (p *pool) choosePlain(look []*upstream, a *wire.WorkAsk, rested bool, now time.Time) *choice {
+func (p *pool) choosePlain(look []*upstream, a *wire.PlacementRequest, rested bool, now time.Time) *choice {
 	var best *choice
 	for _, u := range look {
 		if !p.hasRoom(u, a, rested, now) {
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -137,24 +137,24 @@
 }
 
 // note takes the news of a run.
-func (p *pool) note(from wire.NodeID, n wire.WorkNote, now time.Time) {
+func (p *pool) note(from wire.NodeID, n wire.ProgressNote, now time.Time) {
 	r := p.runs[runKey{from, n.No}]
 	if r == nil {
 		return
 	}
 	switch n.Event {
-	case wire.NoteFirst:
+	case wire.ProgressFirstEvent:
 		p.first(r, float64(n.FirstMS), now)
-	case wire.NoteDone:
+	case wire.ProgressDone:
 		r.up.rest.worked(now)
 		p.answeredAgain(r.up, now)
 		p.forget(r.key, true, now)
-	case wire.NoteFailed, wire.NoteRefused:
+	case wire.ProgressFailed, wire.ProgressRefused:
 		r.up.rest.failed(now)
-		p.suspectStart(r.up, n.Event == wire.NoteRefused, now)
+		p.suspectStart(r.up, n.Event == wire.ProgressRefused, now)
 		p.takeBack(r, n, now)
 		p.forget(r.key, false, now)
-	case wire.NoteUnused:
+	case wire.ProgressUnused:
 		p.takeBack(r, n, now)
 		p.forget(r.key, false, now)
 	}
@@ -163,15 +163,15 @@
 // takeBack returns what was counted for a run that its upstream never began: its
 // organisation got nothing for it. Engines that crash under one organisation's requests
 // would else cut its share twice.
-func (p *pool) takeBack(r *run, n wire.WorkNote, now time.Time) {
+func (p *pool) takeBack(r *run, n wire.ProgressNote, now time.Time) {
 	if r.neverBegan(n) {
 		p.meter.grant(r.org, -r.cost, now)
 	}
 }
 
 // neverBegan reports whether a note ends a run that has had no event.
-func (r *run) neverBegan(n wire.WorkNote) bool {
-	return !r.first && (wire.IsFailure(n.Event) || n.Event == wire.NoteUnused)
+func (r *run) neverBegan(n wire.ProgressNote) bool {
+	return !r.first && (wire.IsFailure(n.Event) || n.Event == wire.ProgressUnused)
 }
 
 func (p *pool) first(r *run, gotMS float64, now time.Time) {
@@ -225,7 +225,7 @@
 }
 
 // applyLoads replaces what a router states of its use of upstreams.
-func (p *pool) applyLoads(from wire.NodeID, loads []wire.WorkLoad, now time.Time) {
+func (p *pool) applyLoads(from wire.NodeID, loads []wire.UpstreamLoad, now time.Time) {
 	p.statedNo++
 	var stated []*upstream
 	for _, l := range loads {
@@ -240,7 +240,7 @@
 	}
 	for _, u := range p.statedBy[from] {
 		if u.statedNo != p.statedNo {
-			u.change(from, func(n *nodeUse) { n.load = wire.WorkLoad{} })
+			u.change(from, func(n *nodeUse) { n.load = wire.UpstreamLoad{} })
 		}
 	}
 	if len(stated) == 0 {
--- a/internal/dispatch/quorum.go
+++ b/internal/dispatch/quorum.go
@@ -45,7 +45,7 @@
 }
 
 func (n *Node) hearsMost(now time.Time) bool {
-	heard := n.members.HeardSince(now.Add(-n.heardWithin()))
+	heard := n.members.ReceivedSince(now.Add(-n.heardWithin()))
 	heard.Places[n.set.Place] = true
 	for place := range n.upstreamPlaces {
 		if _, known := heard.Places[place]; !known {
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -40,7 +40,7 @@
 		f.arriveBound(id, no+1, service, routing.Regions{"south"})
 		require.Equal(t, "q", f.placed(id, no+1).Instance.Place)
 		if no%4 == 0 {
-			f.nodes[id].Step(Again{ID: no + 1, Event: wire.NoteFailed}, f.now)
+			f.nodes[id].Step(Again{ID: no + 1, Event: wire.ProgressFailed}, f.now)
 			f.deliver()
 			require.Equal(t, "q", f.placed(id, no+1).Instance.Place, "nor does a repeat leave")
 		}
@@ -81,7 +81,7 @@
 	north := f.nodes[id].pools[serviceID(engines)].order
 	for _, u := range north {
 		if u.inst.Place == "p" {
-			f.nodes[id].answered(s, wire.WorkAnswer{No: 1, Try: 1, Upstream: u.id}, f.now)
+			f.nodes[id].answered(s, wire.PlacementReply{No: 1, Try: 1, Upstream: u.id}, f.now)
 			break
 		}
 	}
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -95,7 +95,7 @@
 	for _, id := range to {
 		if id != n.set.ID {
 			w := n.work(id)
-			w.Delta, w.Sight = d, n.store.told(now)
+			w.Delta, w.Reading = d, n.store.told(now)
 		}
 	}
 }
--- a/internal/dispatch/relay_test.go
+++ b/internal/dispatch/relay_test.go
@@ -67,7 +67,7 @@
 	f.see(6 * time.Second)
 	crossed := 0
 	f.onSend = func(from wire.NodeID, s Send) {
-		if s.Datagram.Work != nil && s.Datagram.Work.Delta != nil && f.nodes[from].set.Place != f.nodes[s.To].set.Place {
+		if s.Datagram.Dispatch != nil && s.Datagram.Dispatch.Delta != nil && f.nodes[from].set.Place != f.nodes[s.To].set.Place {
 			crossed++
 		}
 	}
@@ -144,7 +144,7 @@
 			reads++
 		}
 	}
-	f.nodes[id].Step(Receive{Datagram: &wire.Datagram{From: far, Inc: 1, Work: &wire.Work{Revision: 50}}}, f.now)
+	f.nodes[id].Step(Receive{Datagram: &wire.Datagram{From: far, Inc: 1, Dispatch: &wire.Dispatch{Revision: 50}}}, f.now)
 	f.run(relayWait - 2*TickEvery)
 	assert.Zero(t, reads)
 	f.run(2*fetchSpread + 2*TickEvery)
@@ -204,7 +204,7 @@
 		}
 		return count
 	}
-	n.Step(Receive{Datagram: &wire.Datagram{From: f.order[0], Inc: 1, Work: &wire.Work{Revision: 9}}}, f.now)
+	n.Step(Receive{Datagram: &wire.Datagram{From: f.order[0], Inc: 1, Dispatch: &wire.Dispatch{Revision: 9}}}, f.now)
 	assert.Equal(t, 1, reads(fetchPatience-TickEvery))
 	n.Step(FetchEnded{}, f.now)
 	assert.Equal(t, 1, reads(fetchAgain+TickEvery), "it brought nothing")
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -137,7 +137,7 @@
 			age = int(now.Sub(w.at).Milliseconds())
 		}
 		n.out = append(n.out, AloneReport{Service: p.service, Org: n.reports.names[k.org], Placed: a.placed, Refused: a.refused,
-			PlacedTokens: int(a.tokens), TurnedTokens: int(a.turned), Share: w.Over, ShareAgeMS: age, LetInPercent: int(100 * min(1, n.coveredHere(p, k.org, now)))})
+			PlacedTokens: int(a.tokens), TurnedTokens: int(a.turned), Share: w.SharePercent, ShareAgeMS: age, LetInPercent: int(100 * min(1, n.coveredHere(p, k.org, now)))})
 	}
 	clear(n.reports.alone)
 }
--- a/internal/dispatch/scale_bench_test.go
+++ b/internal/dispatch/scale_bench_test.go
@@ -88,7 +88,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		from := scaleUpdate(1 + i%(scaleRouters-1))
-		n.Step(Receive{Datagram: &wire.Datagram{From: from.ID, Inc: 1, Work: &wire.Work{Beat: uint32(i + 1), Revision: 5}}}, now)
+		n.Step(Receive{Datagram: &wire.Datagram{From: from.ID, Inc: 1, Dispatch: &wire.Dispatch{Heartbeat: uint32(i + 1), Revision: 5}}}, now)
 		n.Ready(now)
 	}
 }
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -49,7 +49,7 @@
 
 // storeSights is what this router knows of the fleet's readings of the store.
 type storeSights struct {
-	latest   wire.StoreSight
+	latest   wire.StoreReading
 	at       time.Time // of the latest
 	heard    map[wire.NodeID]reading
 	no       uint32 // of the own last one
@@ -72,15 +72,15 @@
 }
 
 // told is the latest reading as it is passed on, or nil before any.
-func (s *storeSights) told(now time.Time) *wire.StoreSight {
+func (s *storeSights) told(now time.Time) *wire.StoreReading {
 	if s.at.IsZero() {
 		return nil
 	}
 	out := s.latest
 	out.AgeMS = uint32(now.Sub(s.at).Milliseconds())
-	out.BackMS = 0
+	out.RecoveredMS = 0
 	if !s.back.IsZero() && now.Sub(s.back) < backFor {
-		out.BackMS = uint32(now.Sub(s.back).Milliseconds()) + 1
+		out.RecoveredMS = uint32(now.Sub(s.back).Milliseconds()) + 1
 	}
 	return &out
 }
@@ -208,7 +208,7 @@
 func (n *Node) sighted(in Sighted, now time.Time) {
 	s := &n.store
 	s.no++
-	s.latest = wire.StoreSight{By: n.set.ID, Inc: n.set.Inc, No: s.no}
+	s.latest = wire.StoreReading{Reader: n.set.ID, Inc: n.set.Inc, No: s.no}
 	s.at, s.failedAt = now, time.Time{}
 	if in.Back {
 		s.back = now
@@ -222,19 +222,19 @@
 }
 
 // heardSight takes a reading that a peer knows of, if it is news here.
-func (n *Node) heardSight(from wire.NodeID, t *wire.StoreSight, now time.Time) {
+func (n *Node) heardSight(from wire.NodeID, t *wire.StoreReading, now time.Time) {
 	s := &n.store
-	if old, known := s.heard[t.By]; t.By == n.set.ID || known && (t.Inc < old.inc || t.Inc == old.inc && t.No <= old.no) {
+	if old, known := s.heard[t.Reader]; t.Reader == n.set.ID || known && (t.Inc < old.inc || t.Inc == old.inc && t.No <= old.no) {
 		return
 	}
-	s.heard[t.By] = reading{t.Inc, t.No}
+	s.heard[t.Reader] = reading{t.Inc, t.No}
 	if at := now.Add(-time.Duration(t.AgeMS) * time.Millisecond); at.After(s.at) {
 		s.latest, s.at = *t, at
 	}
-	if t.BackMS == 0 {
+	if t.RecoveredMS == 0 {
 		return
 	}
-	if back := now.Add(-time.Duration(t.BackMS-1) * time.Millisecond); back.Sub(s.back) > backFor {
+	if back := now.Add(-time.Duration(t.RecoveredMS-1) * time.Millisecond); back.Sub(s.back) > backFor {
 		s.back = back
 		n.out = append(n.out, StoreBack{From: from, At: back})
 	}
--- a/internal/dispatch/store_test.go
+++ b/internal/dispatch/store_test.go
@@ -71,7 +71,7 @@
 	f := newFleet(t, 3, 2)
 	a, b := f.order[0], f.order[1]
 	outs := func(d *wire.StoreDelta) []Output {
-		f.nodes[b].Step(Receive{Datagram: &wire.Datagram{From: a, Inc: 1, Work: &wire.Work{Delta: d, Sight: &wire.StoreSight{By: a, Inc: 1, No: 1}}}}, f.now)
+		f.nodes[b].Step(Receive{Datagram: &wire.Datagram{From: a, Inc: 1, Dispatch: &wire.Dispatch{Delta: d, Reading: &wire.StoreReading{Reader: a, Inc: 1, No: 1}}}}, f.now)
 		return f.nodes[b].Ready(f.now)
 	}
 	d := &wire.StoreDelta{From: 9, To: 12, Removed: []string{"e0"}}
@@ -91,7 +91,7 @@
 	f.nodes[f.order[0]].Step(Sighted{Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
 	told := map[wire.NodeID]bool{}
 	for _, o := range f.nodes[f.order[0]].Ready(f.now) {
-		if s, ok := o.(Send); ok && s.Datagram.Work != nil && s.Datagram.Work.Delta != nil {
+		if s, ok := o.(Send); ok && s.Datagram.Dispatch != nil && s.Datagram.Dispatch.Delta != nil {
 			told[s.To] = true
 		}
 	}
@@ -179,7 +179,7 @@
 		f.nodes[id].Ready(f.now)
 	}
 	for _, o := range f.nodes[f.order[0]].Ready(f.now) {
-		if s, ok := o.(Send); ok && s.Datagram.Work != nil {
+		if s, ok := o.(Send); ok && s.Datagram.Dispatch != nil {
 			d := *s.Datagram
 			d.From = f.order[0]
 			f.nodes[s.To].Step(Receive{Datagram: &d}, f.now)
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -94,7 +94,7 @@
 		if u.cache.used == 0 && !u.rest.resting(now) {
 			continue // nothing is known of it
 		}
-		s.Engines = append(s.Engines, wire.EngineSnapshot{Upstream: u.id, RestMS: leftMS(u.rest.until, now), Kept: u.cache.list()})
+		s.Engines = append(s.Engines, wire.EngineSnapshot{Upstream: u.id, EjectionMS: leftMS(u.rest.until, now), CachedParts: u.cache.list()})
 	}
 	return s
 }
@@ -126,8 +126,8 @@
 		w := wire.OrgWindow{Org: org}
 		for age := range int64(shareSteps) {
 			i := m.steps.place(age)
-			w.Asked = append(w.Asked, float32(u.asked[i]))
-			w.Got = append(w.Got, float32(u.got[i]))
+			w.Requested = append(w.Requested, float32(u.asked[i]))
+			w.Received = append(w.Received, float32(u.got[i]))
 		}
 		out = append(out, w)
 	}
@@ -143,11 +143,11 @@
 		u := m.of(r.Org)
 		for age := range int64(shareSteps) {
 			i := m.steps.place(age)
-			if age < int64(len(r.Asked)) {
-				u.asked[i] = max(u.asked[i], finite(r.Asked[age]))
+			if age < int64(len(r.Requested)) {
+				u.asked[i] = max(u.asked[i], finite(r.Requested[age]))
 			}
-			if age < int64(len(r.Got)) {
-				u.got[i] = max(u.got[i], finite(r.Got[age]))
+			if age < int64(len(r.Received)) {
+				u.got[i] = max(u.got[i], finite(r.Received[age]))
 			}
 		}
 	}
@@ -165,23 +165,23 @@
 // inherit takes another router's belief of an engine where this one has none.
 func (u *upstream) inherit(e wire.EngineSnapshot, now time.Time) {
 	u.touch(now)
-	for _, k := range slices.Backward(e.Kept) {
+	for _, k := range slices.Backward(e.CachedParts) {
 		if u.cache.parts[k.Part] == nil {
 			u.cache.add(k.Part, int(k.Tokens), k.Ready, now)
 		}
 	}
 	u.fit(now)
-	if until := now.Add(min(time.Duration(e.RestMS)*time.Millisecond, maxRest)); until.After(u.rest.until) {
+	if until := now.Add(min(time.Duration(e.EjectionMS)*time.Millisecond, maxRest)); until.After(u.rest.until) {
 		u.rest.until = until
 	}
 }
 
 // list returns the kept parts, the latest used first.
-func (c *cache) list() []wire.KeptPart {
-	var out []wire.KeptPart
+func (c *cache) list() []wire.CachedPart {
+	var out []wire.CachedPart
 	for e := c.order.Front(); e != nil; e = e.Next() {
 		p := e.Value.(*part)
-		out = append(out, wire.KeptPart{Part: p.id, Tokens: uint32(p.tokens), Ready: p.ready})
+		out = append(out, wire.CachedPart{Part: p.id, Tokens: uint32(p.tokens), Ready: p.ready})
 	}
 	return out
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -97,7 +97,7 @@
 	m := newMeter(1000)
 	nan := float32(math.NaN())
 	m.inherit([]wire.OrgWindow{
-		{Org: 1, Asked: []float32{nan, -5, float32(math.Inf(1)), 7}, Got: make([]float32, 100)},
+		{Org: 1, Requested: []float32{nan, -5, float32(math.Inf(1)), 7}, Received: make([]float32, 100)},
 		{Org: 2},
 	}, start)
 	assert.Equal(t, 7.0, total(&m.at(1, start).asked))
--- a/internal/dispatch/unasked.go
+++ b/internal/dispatch/unasked.go
@@ -48,7 +48,7 @@
 
 // countUnasked notes a decision made here though another router is the scheduler. It
 // reports whether that one is told.
-func (n *Node) countUnasked(p *pool, a *wire.WorkAsk, placed bool, now time.Time) bool {
+func (n *Node) countUnasked(p *pool, a *wire.PlacementRequest, placed bool, now time.Time) bool {
 	if p.engine == nil || n.schedulerOf(p.id, now) == n.set.ID {
 		return false // no shares, or it is this router that counts them
 	}
@@ -83,14 +83,14 @@
 		if p == nil || p.engine == nil {
 			continue
 		}
-		u := wire.Unasked{Service: k.service, Org: k.org, Wanted: int64(s.wanted), Placed: int64(s.placed)}
+		u := wire.LocalUsage{Service: k.service, Org: k.org, Requested: int64(s.wanted), Placed: int64(s.placed)}
 		to := n.schedulerOf(p.id, now)
 		if to == n.set.ID {
 			n.heardUnasked(n.set.ID, u, now)
 			continue
 		}
 		w := n.work(to)
-		w.Unasked = append(w.Unasked, u)
+		w.LocalUsage = append(w.LocalUsage, u)
 	}
 	clear(n.unasked.sums)
 }
@@ -98,15 +98,15 @@
 // heardUnasked counts what a router decided without asking. One that took this router for
 // the scheduler, and was wrong, has its sums passed on: the scheduler would else never
 // hear of what was placed.
-func (n *Node) heardUnasked(from wire.NodeID, u wire.Unasked, now time.Time) {
+func (n *Node) heardUnasked(from wire.NodeID, u wire.LocalUsage, now time.Time) {
 	p := n.pools[u.Service]
 	if p == nil || p.engine == nil {
 		return
 	}
-	p.meter.ask(u.Org, float64(u.Wanted), now)
+	p.meter.ask(u.Org, float64(u.Requested), now)
 	p.meter.grant(u.Org, float64(u.Placed), now)
-	p.meter.booked.addOwn(from, u.Org, float64(u.Wanted), float64(u.Placed))
+	p.meter.booked.addOwn(from, u.Org, float64(u.Requested), float64(u.Placed))
 	if to := n.schedulerOf(p.id, now); to != n.set.ID && to != from {
-		n.unasked.add(orgAt{p.id, u.Org}, float64(u.Wanted), float64(u.Placed))
+		n.unasked.add(orgAt{p.id, u.Org}, float64(u.Requested), float64(u.Placed))
 	}
 }
--- a/internal/dispatch/upstream.go
+++ b/internal/dispatch/upstream.go
@@ -72,9 +72,9 @@
 	prompt prefill.Prompt
 	entry  *prefill.Entry
 	first  bool
-	told   bool            // another router is the scheduler, and is told of it
-	try    uint32          // of the ask that placed it
-	answer wire.WorkAnswer // to that ask
+	told   bool                // another router is the scheduler, and is told of it
+	try    uint32              // of the ask that placed it
+	answer wire.PlacementReply // to that ask
 }
 
 func newUpstream(inst routing.Instance, engine *routing.Engine) *upstream {
@@ -95,7 +95,7 @@
 // the router states.
 type nodeUse struct {
 	runs, tokens int // placed here
-	load         wire.WorkLoad
+	load         wire.UpstreamLoad
 }
 
 // use is a sum over routers, kept up to date by change.
--- a/internal/dispatch/word.go
+++ b/internal/dispatch/word.go
@@ -35,7 +35,7 @@
 
 // heardWord is the scheduler's latest word on an organisation.
 type heardWord struct {
-	wire.ShareWord
+	wire.ShareUpdate
 	at time.Time
 }
 
@@ -65,12 +65,12 @@
 	n.words.told[k] = now
 	over := p.meter.over(org, now)
 	w := n.work(to)
-	w.Words = append(w.Words, wire.ShareWord{
-		Service: p.id,
-		Org:     org,
-		Over:    hundredths(over),
-		Share:   uint32(p.meter.shares[org]),
-		Asked:   uint32(total(&p.meter.of(org).asked)),
+	w.ShareUpdates = append(w.ShareUpdates, wire.ShareUpdate{
+		Service:      p.id,
+		Org:          org,
+		SharePercent: hundredths(over),
+		Share:        uint32(p.meter.shares[org]),
+		Requested:    uint32(total(&p.meter.of(org).asked)),
 	})
 }
 
@@ -78,7 +78,7 @@
 func hundredths(over float64) uint32 { return uint32(100 * min(over, mostOver)) }
 
 // heardWords keeps what the scheduler says, also in answers that come too late.
-func (n *Node) heardWords(list []wire.ShareWord, now time.Time) {
+func (n *Node) heardWords(list []wire.ShareUpdate, now time.Time) {
 	for _, w := range list {
 		n.words.heard[orgAt{w.Service, w.Org}] = heardWord{w, now}
 	}
@@ -107,7 +107,7 @@
 		over = total(&p.here.at(org, now).got) / allowed
 	}
 	if w := n.words.heard[orgAt{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < wordFor {
-		over = max(over, float64(w.Over)/100)
+		over = max(over, float64(w.SharePercent)/100)
 	}
 	return over
 }
@@ -121,6 +121,6 @@
 		return p.here.capacity / float64(max(1, len(n.reports.names)))
 	}
 	asked := total(&p.here.at(org, now).asked)
-	part := asked / max(1, float64(w.Asked))
+	part := asked / max(1, float64(w.Requested))
 	return float64(w.Share) * min(1, max(part, leastPart))
 }
--- a/internal/dispatch/word_test.go
+++ b/internal/dispatch/word_test.go
@@ -73,7 +73,7 @@
 	f := newFleet(t, 4, 4)
 	n := f.nodes[f.other()]
 	p := n.pools[serviceID(engines)]
-	n.heardWords([]wire.ShareWord{{Service: p.id, Org: 1, Share: 1000, Asked: 8000}}, f.now)
+	n.heardWords([]wire.ShareUpdate{{Service: p.id, Org: 1, Share: 1000, Requested: 8000}}, f.now)
 	p.here.ask(1, 4000, f.now)
 	assert.InDelta(t, 500, n.allowance(p, 1, f.now), 1)
 	p.here.ask(1, 40_000, f.now)
@@ -86,9 +86,9 @@
 	f := newFleet(t, 4, 4)
 	id := f.other()
 	n := f.nodes[id]
-	n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{
-		Answers: []wire.WorkAnswer{{No: 99, Try: 1, Upstream: version.IDOf("e0")}},
-		Words:   []wire.ShareWord{{Service: serviceID(engines), Org: 7, Over: 250, Share: 1000, Asked: 5000}},
+	n.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{
+		PlacementReplies: []wire.PlacementReply{{No: 99, Try: 1, Upstream: version.IDOf("e0")}},
+		ShareUpdates:     []wire.ShareUpdate{{Service: serviceID(engines), Org: 7, SharePercent: 250, Share: 1000, Requested: 5000}},
 	}}}, f.now)
 	assert.InDelta(t, 2.5, n.aloneOver(n.pools[serviceID(engines)], 7, f.now), 0.01)
 	f.now = f.now.Add(wordFor)
@@ -108,13 +108,13 @@
 			third = other
 		}
 	}
-	ask := wire.WorkAsk{No: 5, Try: 1, Service: serviceID(engines), Org: 7, Input: 4000, AimMS: 600, LeftMS: 6000}
-	f.nodes[third].Step(Receive{Datagram: &wire.Datagram{From: id, Inc: 1, Work: &wire.Work{Asks: []wire.WorkAsk{ask}}}}, f.now)
+	ask := wire.PlacementRequest{No: 5, Try: 1, Service: serviceID(engines), Org: 7, Input: 4000, TargetMS: 600, DeadlineMS: 6000}
+	f.nodes[third].Step(Receive{Datagram: &wire.Datagram{From: id, Inc: 1, Dispatch: &wire.Dispatch{PlacementRequests: []wire.PlacementRequest{ask}}}}, f.now)
 	for _, o := range f.nodes[third].Ready(f.now) {
 		if s, is := o.(Send); is && s.To == id {
-			require.NotNil(t, s.Datagram.Work)
-			assert.NotEmpty(t, s.Datagram.Work.Answers)
-			assert.Empty(t, s.Datagram.Work.Words)
+			require.NotNil(t, s.Datagram.Dispatch)
+			assert.NotEmpty(t, s.Datagram.Dispatch.PlacementReplies)
+			assert.Empty(t, s.Datagram.Dispatch.ShareUpdates)
 		}
 	}
 	assert.NotEmpty(t, f.nodes[third].unasked.sums, "what it placed is told to the scheduler")
@@ -128,19 +128,19 @@
 	p := sched.pools[serviceID(engines)]
 	heir := f.nodes[sched.ranked(p.id, f.now)[1]]
 	own := heir.pools[p.id]
-	ask := func(no uint64) wire.WorkAnswer {
-		a := wire.WorkAsk{No: no, Try: 1, Service: p.id, Org: 7, Input: 4000, AimMS: 600, LeftMS: 6000}
-		heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Asks: []wire.WorkAsk{a}}}}, f.now)
+	ask := func(no uint64) wire.PlacementReply {
+		a := wire.PlacementRequest{No: no, Try: 1, Service: p.id, Org: 7, Input: 4000, TargetMS: 600, DeadlineMS: 6000}
+		heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{PlacementRequests: []wire.PlacementRequest{a}}}}, f.now)
 		for _, o := range heir.Ready(f.now) {
-			if s, is := o.(Send); is && s.Datagram.Work != nil && len(s.Datagram.Work.Answers) > 0 {
-				return s.Datagram.Work.Answers[0]
+			if s, is := o.(Send); is && s.Datagram.Dispatch != nil && len(s.Datagram.Dispatch.PlacementReplies) > 0 {
+				return s.Datagram.Dispatch.PlacementReplies[0]
 			}
 		}
 		require.Fail(t, "no answer")
-		return wire.WorkAnswer{}
+		return wire.PlacementReply{}
 	}
 	require.NotZero(t, ask(1).Upstream)
-	heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Work: &wire.Work{Notes: []wire.WorkNote{{No: 1, Event: wire.NoteUnused}}}}}, f.now)
+	heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{ProgressNotes: []wire.ProgressNote{{No: 1, Event: wire.ProgressUnused}}}}}, f.now)
 	sum := heir.unasked.sums[orgAt{p.id, 7}]
 	assert.InDelta(t, 0, sum.placed, 0.1, "what was placed and what came back")
 	own.meter.ask(8, 2*window, f.now)
@@ -149,7 +149,7 @@
 	f.now = f.now.Add(shareStep)
 	refused := ask(2)
 	assert.Zero(t, refused.Upstream)
-	assert.Equal(t, uint8(ReasonShare), refused.Why)
+	assert.Equal(t, uint8(ReasonShare), refused.ReasonCode)
 }
 
 // The next scheduler knows what organisations had, and does not count twice what it
@@ -182,7 +182,7 @@
 	f.arrive(id, 1, engines, "unlucky", 4000)
 	f.placed(id, 1)
 	assert.Positive(t, total(&meter.at(org, f.now).got))
-	f.nodes[id].Step(End{ID: 1, Event: wire.NoteFailed}, f.now)
+	f.nodes[id].Step(End{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.run(100 * time.Millisecond)
 	assert.Zero(t, total(&meter.at(org, f.now).got), "its engine crashed before the first event")
 
@@ -192,14 +192,14 @@
 	f.placed(id, 2)
 	delete(f.cut, f.scheduler())
 	f.run(2 * unaskedEvery)
-	f.nodes[id].Step(End{ID: 2, Event: wire.NoteUnused}, f.now)
+	f.nodes[id].Step(End{ID: 2, Event: wire.ProgressUnused}, f.now)
 	f.run(4 * unaskedEvery)
 	assert.InDelta(t, 0, total(&meter.at(org, f.now).got), 1, "it was placed alone, and never sent")
 	assert.InDelta(t, 0, total(&f.nodes[id].pools[serviceID(engines)].here.at(org, f.now).got), 1)
 
 	f.arrive(id, 3, engines, "unlucky", 4000)
 	f.nodes[id].Step(First{ID: 3, After: 100 * time.Millisecond}, f.now)
-	f.nodes[id].Step(End{ID: 3, Event: wire.NoteFailed}, f.now)
+	f.nodes[id].Step(End{ID: 3, Event: wire.ProgressFailed}, f.now)
 	f.run(100 * time.Millisecond)
 	assert.Positive(t, total(&meter.at(org, f.now).got), "what has begun was got")
 }
--- a/internal/dispatch/workingset_test.go
+++ b/internal/dispatch/workingset_test.go
@@ -55,11 +55,11 @@
 }
 
 // ask is a request of one of so many sessions: two shared parts and one of its own.
-func (c *crowd) ask(sessions int) *wire.WorkAsk {
+func (c *crowd) ask(sessions int) *wire.PlacementRequest {
 	c.no++
 	session := c.rnd.IntN(sessions)
-	return &wire.WorkAsk{No: c.no, Try: 1, Org: version.ID(1 + c.rnd.IntN(200)), Place: version.IDOf(fmt.Sprint("p", c.rnd.IntN(crowdPlaces))),
-		Input: 9190, Output: 50, AimMS: 600, LeftMS: 6000,
+	return &wire.PlacementRequest{No: c.no, Try: 1, Org: version.ID(1 + c.rnd.IntN(200)), Place: version.IDOf(fmt.Sprint("p", c.rnd.IntN(crowdPlaces))),
+		Input: 9190, Output: 50, TargetMS: 600, DeadlineMS: 6000,
 		Parts: []wire.PromptPart{{Part: uint64(session % 4), Tokens: 2520}, {Part: uint64(100 + session), Tokens: 3780}, {Part: 1_000_000 + c.no, Tokens: 2890}}}
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-func (c *crowd) decide(a *wire.WorkAsk) verdict {
+func (c *crowd) decide(a *wire.PlacementRequest) verdict {
 	from := wire.NodeID(fmt.Sprint(c.rnd.IntN(585)))
 	known := c.longestKept(a)
 	v := c.p.decide(from, a, c.now)
@@ -94,7 +94,7 @@
 }
 
 // longestKept is how much of a prompt's shared parts some engine keeps read.
-func (c *crowd) longestKept(a *wire.WorkAsk) int {
+func (c *crowd) longestKept(a *wire.PlacementRequest) int {
 	for i := len(a.Parts) - 2; i >= 0; i-- {
 		for _, set := range c.p.places {
 			for _, u := range c.p.holders[partAt{a.Parts[i].Part, set.id}] {
@@ -113,13 +113,13 @@
 	for _, e := range c.ends {
 		if !e.hasFirst && !c.now.Before(e.first) {
 			e.hasFirst = true
-			c.p.note(e.from, wire.WorkNote{No: e.no, Event: wire.NoteFirst, FirstMS: e.firstMS}, c.now)
+			c.p.note(e.from, wire.ProgressNote{No: e.no, Event: wire.ProgressFirstEvent, FirstMS: e.firstMS}, c.now)
 		}
 		if c.now.Before(e.end) {
 			left = append(left, e)
 			continue
 		}
-		c.p.note(e.from, wire.WorkNote{No: e.no, Event: wire.NoteDone}, c.now)
+		c.p.note(e.from, wire.ProgressNote{No: e.no, Event: wire.ProgressDone}, c.now)
 	}
 	c.ends = left
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -115,7 +115,7 @@
 	if w.Version != nil {
 		h.Router.Step(core.NewVersion{Version: w.Version}, w.Now)
 	}
-	w.every(h, core.TickEvery, func() { h.Router.Tick(w.Now) })
+	w.every(h, core.TickInterval, func() { h.Router.Tick(w.Now) })
 	w.every(h, w.progressPeriod, func() { w.progress(h) })
 	return h
 }
--- a/internal/lab/safety_test.go
+++ b/internal/lab/safety_test.go
@@ -259,12 +259,12 @@
 			w.Step(w.Hosts[w.Order[2]], core.Drain{Upstream: u})
 		},
 		"one router's VM list says so": func(w *World, u version.ID) {
-			w.Step(w.Hosts[w.Order[1]], core.Drain{Upstream: u, Firm: true})
+			w.Step(w.Hosts[w.Order[1]], core.Drain{Upstream: u, Persistent: true})
 		},
 		"every router's list says so while the scheduler is cut off": func(w *World, u version.ID) {
 			cutAfter(w, 1)
 			for _, id := range w.Order {
-				w.Step(w.Hosts[id], core.Drain{Upstream: u, Firm: true})
+				w.Step(w.Hosts[id], core.Drain{Upstream: u, Persistent: true})
 			}
 		},
 	}
--- a/internal/lab/tokens/calls.go
+++ b/internal/lab/tokens/calls.go
@@ -38,7 +38,7 @@
 	}
 	w.countAgain(c, e, r.Source)
 	if !e.Add(r, w.now) {
-		w.nodes[c.router].Step(dispatch.End{ID: o.ID, Event: wire.NoteUnused}, w.now)
+		w.nodes[c.router].Step(dispatch.End{ID: o.ID, Event: wire.ProgressUnused}, w.now)
 		w.res.Refused++
 		return
 	}
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -301,7 +301,7 @@
 				continue
 			}
 			delete(w.calls, ev.ID)
-			w.tell(c.router, dispatch.End{ID: ev.ID, Event: wire.NoteDone})
+			w.tell(c.router, dispatch.End{ID: ev.ID, Event: wire.ProgressDone})
 		}
 	}
 }
--- a/internal/process/driver.go
+++ b/internal/process/driver.go
@@ -66,7 +66,7 @@
 }
 
 // Run is the control goroutine. It ends with the context.
-func (d *Driver) Run(ctx context.Context) { d.run(ctx, core.TickEvery, d, d.log) }
+func (d *Driver) Run(ctx context.Context) { d.run(ctx, core.TickInterval, d, d.log) }
 
 func (d *Driver) receive(m *wire.Datagram, now time.Time) {
 	d.node.Step(core.Receive{Datagram: m}, now)
@@ -153,7 +153,7 @@
 	v, err := version.Load(raw)
 	d.do(func(now time.Time) {
 		if err != nil {
-			d.node.Step(core.BadVersion{Number: num, Why: err.Error()}, now)
+			d.node.Step(core.BadVersion{Number: num, Reason: err.Error()}, now)
 			return
 		}
 		d.node.Step(core.NewVersion{Version: v}, now)
--- a/internal/process/peercontent_test.go
+++ b/internal/process/peercontent_test.go
@@ -176,9 +176,9 @@
 	assert.Equal(t, &wire.StoreDelta{From: 10, To: 12, Table: true}, told(deltaOf(l, false, 10)))
 	few := told(deltaOf(listing(12, nil, manyInstances(deltaMost)), false, 10))
 	require.Len(t, few.Put, deltaMost)
-	raw, err := wire.Encode(&wire.Datagram{Work: &wire.Work{Delta: few}})
+	raw, err := wire.Encode(&wire.Datagram{Dispatch: &wire.Dispatch{Delta: few}})
 	require.NoError(t, err)
-	assert.Less(t, len(raw), wire.MaxDatagram)
+	assert.Less(t, len(raw), wire.MaxDatagramBytes)
 }
 
 // An entry that was missing from a listing after an outage was given time by the router that
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		if leaving {
-			p.drv.Step(core.Drain{Upstream: id, Firm: true})
+			p.drv.Step(core.Drain{Upstream: id, Persistent: true})
 		} else {
 			p.drv.Step(core.Undrain{Upstream: id})
 		}
--- a/internal/process/sent.go
+++ b/internal/process/sent.go
@@ -27,17 +27,17 @@
 var purposeNames = [purposes]string{"changes", "answers", "asks", "notes", "regular", "membership"}
 
 func purposeOf(d *wire.Datagram) purpose {
-	w := d.Work
+	w := d.Dispatch
 	switch {
 	case w == nil:
 		return forRest
 	case w.Delta != nil:
 		return forChanges
-	case len(w.Answers) > 0:
+	case len(w.PlacementReplies) > 0:
 		return forAnswers
-	case len(w.Asks) > 0:
+	case len(w.PlacementRequests) > 0:
 		return forAsks
-	case len(w.Notes) > 0:
+	case len(w.ProgressNotes) > 0:
 		return forNotes
 	}
 	return forRegular
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -81,14 +81,14 @@
 	a.whole = err == nil
 	a.logAttempt(a.place, "not-run-by-upstream: "+strconv.Itoa(res.StatusCode), nil)
 	if a.ctx.Err() != nil {
-		a.s.ctl.End(a.ticket, wire.NoteUnused)
+		a.s.ctl.End(a.ticket, wire.ProgressUnused)
 		a.giveUp("no-answer-in-time", a.place.Instance.ID, nil)
 		return stepDone
 	}
 	if a.attempts < a.route.MaxAttempts {
-		return a.again(wire.NoteFailed)
+		return a.again(wire.ProgressFailed)
 	}
-	a.s.ctl.End(a.ticket, wire.NoteFailed)
+	a.s.ctl.End(a.ticket, wire.ProgressFailed)
 	a.afterFailure(a.place, false, nil)
 	return stepDone
 }
@@ -108,9 +108,9 @@
 	a.logAttempt(a.place, "answer-broken", err)
 	if a.mayRepeat() {
 		a.x.Close(false) // the upstream stops before another begins
-		return a.again(wire.NoteFailed)
+		return a.again(wire.ProgressFailed)
 	}
-	a.s.ctl.End(a.ticket, wire.NoteFailed)
+	a.s.ctl.End(a.ticket, wire.ProgressFailed)
 	a.afterFailure(a.place, true, err)
 	return stepDone
 }
@@ -129,9 +129,9 @@
 	}
 	a.whole = true
 	a.answeredWhole()
-	note := wire.NoteDone
+	note := wire.ProgressDone
 	if res.StatusCode >= 500 {
-		note = wire.NoteFailed
+		note = wire.ProgressFailed
 		if a.route.Kind == routing.Idempotent && a.mayRepeat() && a.ctx.Err() == nil {
 			a.ran = true
 			a.logAttempt(a.place, "upstream-status: "+strconv.Itoa(res.StatusCode), nil)
@@ -170,7 +170,7 @@
 	}
 	a.whole = true
 	a.answeredWhole()
-	a.s.ctl.End(a.ticket, wire.NoteDone)
+	a.s.ctl.End(a.ticket, wire.ProgressDone)
 	a.logAnswered(a.place, res.StatusCode, a.firstAfter)
 	return stepDone
 }
@@ -233,7 +233,7 @@
 		}
 	}
 	a.broke(a.place, false, context.Canceled)
-	a.s.ctl.End(a.ticket, wire.NoteDone)
+	a.s.ctl.End(a.ticket, wire.ProgressDone)
 	a.giveUp("caller-unreachable", a.place.Instance.ID, nil)
 	return stepDone
 }
@@ -251,7 +251,7 @@
 		a.head(res)
 		a.w.WriteHeader(res.StatusCode)
 	}
-	a.s.ctl.End(a.ticket, wire.NoteDone)
+	a.s.ctl.End(a.ticket, wire.ProgressDone)
 	a.logAnswered(a.place, res.StatusCode, a.firstAfter)
 	return stepDone
 }
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, "kept", q.Header.Get("X-Other"))
 	assert.Equal(t, "i-0", q.Header.Get("X-Expect"))
 	assert.Less(t, len(q.Header.Get("X-Left-Ms")), 4, "what is left, not more than the caller gave")
-	assert.Equal(t, []uint8{wire.NoteDone}, r.ctl.noted())
+	assert.Equal(t, []uint8{wire.ProgressDone}, r.ctl.noted())
 }
 
 func TestRefusalsFromHeaders(t *testing.T) {
@@ -300,7 +300,7 @@
 	assert.Equal(t, "hello", body)
 	assert.Empty(t, gotA())
 	assert.Len(t, gotB(), 1)
-	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.ctl.noted())
+	assert.Equal(t, []uint8{wire.ProgressUnused, wire.ProgressDone}, r.ctl.noted())
 
 	gone := newRig(t, a, a, a, a, a)
 	gone.ctl.left = map[string]bool{"i-0": true, "i-1": true, "i-2": true, "i-3": true, "i-4": true}
--- a/internal/request/forward/look_test.go
+++ b/internal/request/forward/look_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "hello", body)
 	assert.Equal(t, []lookedAt{{"i-0", 1500 * time.Millisecond}}, r.ctl.looked)
-	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.ctl.noted(), "nothing was sent there, so it is no repeat")
+	assert.Equal(t, []uint8{wire.ProgressUnused, wire.ProgressDone}, r.ctl.noted(), "nothing was sent there, so it is no repeat")
 	require.Len(t, gotCold(), 1)
 	assert.Equal(t, "/health", gotCold()[0].RequestURI)
 	require.Len(t, gotWarm(), 2)
--- a/internal/request/forward/quarantine.go
+++ b/internal/request/forward/quarantine.go
@@ -38,7 +38,7 @@
 
 // endHeld ends a request that came to be held while it waited or ran.
 func (r *run) endHeld(f failure) {
-	r.s.ctl.End(r.ticket, wire.NoteUnused)
+	r.s.ctl.End(r.ticket, wire.ProgressUnused)
 	switch {
 	case r.begun:
 		r.abort(reasonHeld)
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -51,7 +51,7 @@
 		d, ok := r.ticket.wait(r.ctx)
 		r.s.count.decision.UpdateSince(asked)
 		if !ok {
-			r.s.ctl.End(r.ticket, wire.NoteUnused)
+			r.s.ctl.End(r.ticket, wire.ProgressUnused)
 			r.giveUp("no-decision-in-time", "", nil)
 			return
 		}
@@ -209,9 +209,9 @@
 		r.withdraw(p, cmp.Or(r.s.ctl.Unusable(p), UpstreamLeft))
 		return stepAgain
 	}
-	note := wire.NoteFailed
+	note := wire.ProgressFailed
 	if !sent && conn.IsRefused(err) {
-		note = wire.NoteRefused
+		note = wire.ProgressRefused
 	}
 	r.logAttempt(p, "attempt-failed", err)
 	if sent && !r.route.MayRepeat() || r.attempts >= r.route.MaxAttempts {
@@ -227,7 +227,7 @@
 	r.withdrawn++
 	r.s.count.withdrawn.Inc(1)
 	r.logAttempt(p, string(why), nil)
-	r.s.ctl.Again(r.ticket, wire.NoteUnused)
+	r.s.ctl.Again(r.ticket, wire.ProgressUnused)
 }
 
 // afterFailure tells the end of a request that is not tried again.
@@ -250,9 +250,9 @@
 
 func endNote(failed bool) uint8 {
 	if failed {
-		return wire.NoteFailed
+		return wire.ProgressFailed
 	}
-	return wire.NoteUnused
+	return wire.ProgressUnused
 }
 
 func isNotSent(err error) bool { return conn.IsNotSent(err) }
--- a/internal/request/suspend_test.go
+++ b/internal/request/suspend_test.go
@@ -35,7 +35,7 @@
 
 func (c *slotControl) Return(t *Ticket, _ bool) {
 	c.returned++
-	t.Decide(Decision{At: c.at, Refusal: core.Refuse{Reason: entry.ReasonNoUpstream, After: time.Second}})
+	t.Decide(Decision{At: c.at, Refusal: core.Refuse{Reason: entry.ReasonNoUpstream, RetryAfter: time.Second}})
 }
 
 // The VM is suspended between the moment at which a request is given a slot and the one
