--- a/internal/core/crashes.go
+++ b/internal/core/crashes.go
@@ -10,20 +10,20 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Broke says that an attempt ended without a whole answer though the upstream may have
-// run it. Early says that its answer had no event yet.
+// Broke says that an attempt ended without a complete answer although the upstream may have run
+// it. Early is set when its answer had no event yet.
 type Broke struct {
 	Content  fingerprint.Fingerprint
 	Org      version.ID
 	Upstream version.ID
-	Began    time.Time // of the attempt
+	Began    time.Time // start of the attempt
 	Early    bool
 }
 
 // ConnRefused says that an upstream's address refuses connections: its process has ended.
 type ConnRefused struct{ Upstream version.ID }
 
-// Answered says that a request to which crashes are set down has been answered whole.
+// Answered says that a request to which crashes are attributed received a complete answer.
 type Answered struct{ Content fingerprint.Fingerprint }
 
 func (Broke) input()       {}
@@ -35,22 +35,23 @@
 
 func (Probe) output() {}
 
-// crashWindow tells one crash of an upstream from the next: nothing here names the starts of
-// one that starts again. Routers see a crash within milliseconds of each other, and a
-// process is away for longer than the span or ends once in it.
+// crashWindow is the time within which the ends of one upstream count as one crash, since no
+// identifier distinguishes the processes of an upstream that restarts. Routers observe a crash
+// within milliseconds of each other, and a process is either away for longer than the window or
+// ends once within it.
 const crashWindow = 5 * time.Second
 
-// crashID names the crash of an upstream at a time.
+// crashID returns the ID of an upstream's crash at a time.
 func crashID(up version.ID, now time.Time) version.ID {
 	return version.IDOf(fmt.Sprint(up, now.UnixNano()/int64(crashWindow)))
 }
 
-// Quarantine returns a copy of what is known of requests, and whether it has changed since
-// the last call.
+// Quarantine returns a copy of what is known of requests, and whether it has changed since the
+// last call.
 func (n *Node) Quarantine() (quarantine.View, bool) { return n.crashes.View() }
 
-// broke takes an attempt without a whole answer. The end of an upstream that is leaving is
-// planned, and says nothing of what it still runs.
+// broke handles an attempt that ended without a complete answer. The end of an upstream that is
+// leaving is planned, and so is no evidence against the requests that it still runs.
 func (n *Node) broke(in Broke, now time.Time) {
 	if n.drains[in.Upstream] != nil {
 		return
@@ -70,8 +71,8 @@
 	}
 }
 
-// attachCrashChecksum tells what this router holds, as one number, on pings and acks: every
-// router soon hears one from every other.
+// attachCrashChecksum adds the checksum of the held requests to pings and acks, which every
+// router soon receives from every other.
 func (n *Node) attachCrashChecksum(d *wire.Datagram) {
 	if d.Ping == nil && d.Ack == nil {
 		return
@@ -82,7 +83,7 @@
 	d.Crashes.HasChecksum, d.Crashes.Checksum = true, n.crashes.Checksum()
 }
 
-// logCrashChanges hands over what has changed, for the log.
+// logCrashChanges outputs changes in what is known of requests, for the log.
 func (n *Node) logCrashChanges() {
 	for _, c := range n.crashes.Changes() {
 		detail := fmt.Sprintf("fingerprint %s, organisation %d, held for %v, seen by %q; value: crashes", c.Content, c.Org, c.Held, c.From)
@@ -90,7 +91,7 @@
 	}
 }
 
-// organisationNames returns the names behind the organisations' IDs.
+// organisationNames returns the organisations' names by ID.
 func (n *Node) organisationNames() map[version.ID]string {
 	out := map[version.ID]string{}
 	if n.ver == nil {
--- a/internal/core/crashes_test.go
+++ b/internal/core/crashes_test.go
@@ -15,7 +15,7 @@
 
 const crashingRequest fingerprint.Fingerprint = 0xdead
 
-// pass carries what one node has for another.
+// deliver delivers one node's datagram for another.
 func deliver(t *testing.T, from, to *Node, now time.Time) {
 	t.Helper()
 	d := datagramTo(from.Ready(now), to.set.ID)
@@ -30,14 +30,14 @@
 	to.Step(Receive{d}, now)
 }
 
-// crash ends an upstream under an attempt of a node.
+// crashUpstream ends an upstream during an attempt of a node.
 func crashUpstream(n *Node, up version.ID, now time.Time) {
 	n.Step(Broke{Content: crashingRequest, Org: 7, Upstream: up, Began: now}, now)
 	n.Step(ConnRefused{Upstream: up}, now)
 }
 
-// Two routers have attempts at the same upstream when it crashes, and see that a moment
-// apart: it is one crash. The same upstream crashes again when it is back.
+// Two routers with attempts at the same upstream observe its crash a moment apart: both count
+// one crash. When the upstream is back and crashes again, that is another crash.
 func TestRoutersCountOneCrashOfAnUpstreamOnce(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
 	a.Step(Receive{&wire.Datagram{From: b.set.ID, Inc: b.set.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
@@ -63,7 +63,7 @@
 	}
 }
 
-// A router that starts again hears on the next ping that others hold something.
+// A router that restarts learns from the next ping that others hold a request.
 func TestRestartedRouterLearnsHeldRequestsFromPing(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
 	for i := range quarantine.HoldAfterCrashes {
@@ -71,7 +71,7 @@
 	}
 	a.Ready(t0)
 	b.Step(Receive{&wire.Datagram{From: a.set.ID, Inc: a.set.Inc}}, t0)
-	for seq := range uint32(3) { // a's answer to a ping, b's list, a's list
+	for seq := range uint32(3) { // a's reply to a ping, b's list, a's list
 		a.Step(Receive{&wire.Datagram{From: b.set.ID, Inc: b.set.Inc, Ping: &wire.Ping{Seq: seq}}}, t0)
 		deliver(t, a, b, t0)
 		deliver(t, b, a, t0)
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -9,29 +9,29 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Input is one thing that happened. The types below are all there are.
+// Input is one event. The types below are all inputs.
 type Input interface{ input() }
 
-// Receive is a datagram from another router, already authenticated.
+// Receive is an authenticated datagram from another router.
 type Receive struct{ Datagram *wire.Datagram }
 
-// Arrive is a new request. Key is set when the request may run at most once and
-// its caller gave an idempotency key.
+// Arrive is a new request. Key is set when the request may run at most once and its caller sent
+// an idempotency key.
 type Arrive struct {
 	Request entry.Request
 	Key     *claim.Key
 }
 
-// Cancel says that the caller of a waiting request went away.
+// Cancel says that the caller of a waiting request disconnected.
 type Cancel struct{ ID uint64 }
 
-// Progress is the service a running request has received so far, in its unit.
+// Progress is the service that a running request has received so far, in units of its service.
 type Progress struct {
 	ID    uint64
 	Units float64
 }
 
-// Finish ends a running request. Answered is set when the caller got it whole.
+// Finish ends a running request. Answered is set when the caller received the complete answer.
 type Finish struct {
 	ID       uint64
 	Units    float64
@@ -39,8 +39,8 @@
 	Answered bool
 }
 
-// Return gives a start back, to wait for another: nothing of the request ran, or
-// it may run again. Failed says that the upstream was at fault.
+// Return puts a started request back into its queue: nothing of it ran, or it may run again.
+// Failed is set when the upstream was at fault.
 type Return struct {
 	ID     uint64
 	Failed bool
@@ -49,7 +49,7 @@
 // NewVersion is a configuration that passed every check.
 type NewVersion struct{ Version *version.Version }
 
-// BadVersion is a configuration that did not.
+// BadVersion is a configuration that failed a check.
 type BadVersion struct {
 	Number version.Number
 	Reason string
@@ -58,14 +58,15 @@
 // Roster is the routers on the VM list.
 type Roster struct{ Routers []wire.NodeID }
 
-// Drain says at first hand that an upstream is leaving. It is Firm from the VM
-// list, which says when it is over; the upstream's own word lapses after a time.
+// Drain says that an upstream is leaving, from a first-hand source. It is Persistent when it
+// comes from the VM list, which also says when the upstream is back; a statement of the
+// upstream itself expires after a time.
 type Drain struct {
 	Upstream   version.ID
 	Persistent bool
 }
 
-// Undrain says at first hand that an upstream takes work again.
+// Undrain says that an upstream accepts requests again, from a first-hand source.
 type Undrain struct{ Upstream version.ID }
 
 // Leave begins a planned stop.
@@ -84,7 +85,7 @@
 func (Undrain) input()    {}
 func (Leave) input()      {}
 
-// Output is one thing to do. The types below are all there are.
+// Output is one action for the driver. The types below are all outputs.
 type Output interface{ output() }
 
 // Send is a datagram for another router.
@@ -99,8 +100,8 @@
 	Upstream version.ID
 }
 
-// Refuse answers a request that nothing of was sent. Doubt is set when an
-// earlier attempt with the same key may have run: the outcome is then unknown.
+// Refuse rejects a request of which nothing was sent. Doubt is set when an earlier attempt with
+// the same key may have run, so that the outcome is unknown.
 type Refuse struct {
 	ID         uint64
 	Reason     entry.Reason
@@ -108,7 +109,7 @@
 	Doubt      bool
 }
 
-// Fetch asks the driver to read a version from a peer.
+// Fetch asks the driver to fetch a version from a peer.
 type Fetch struct {
 	From   wire.NodeID
 	Number version.Number
@@ -127,12 +128,12 @@
 func (Fetch) output()  {}
 func (Event) output()  {}
 
-// maxLocalRounds bounds how often messages of this node to itself are delivered
-// within one Ready: report, grant, acknowledgement, and one to spare.
+// maxLocalRounds bounds how often messages of this node to itself are delivered within one
+// Ready: report, grant, acknowledgement, and one in reserve.
 const maxLocalRounds = 4
 
-// Ready returns what to do after the inputs since the last call. The driver
-// calls it after each batch of inputs.
+// Ready returns the outputs of all inputs since the last call. The driver calls it after each
+// batch of inputs.
 func (n *Node) Ready(now time.Time) []Output {
 	for range maxLocalRounds {
 		n.collectDecisions()
@@ -175,7 +176,8 @@
 	}
 }
 
-// deliverToSelf hands over the messages this node has for itself.
+// deliverToSelf handles the messages of this node to itself. It returns false when there were
+// none.
 func (n *Node) deliverToSelf(now time.Time) bool {
 	d := n.outbox.Take(n.set.ID)
 	if d == nil {
@@ -192,8 +194,8 @@
 	return true
 }
 
-// attachVersion tells the version in force where every router hears it in time:
-// on pings and acks, and on everything just after a change.
+// attachVersion announces the version in force on pings and acks, by which every router soon
+// learns it, and on every datagram for a short time after a change.
 func (n *Node) attachVersion(d *wire.Datagram) {
 	if n.ver == nil {
 		return
@@ -203,7 +205,7 @@
 	}
 }
 
-// seal hands every datagram over to be sent.
+// flush outputs every datagram.
 func (n *Node) flush() {
 	n.outbox.Flush(n.members, func(to wire.NodeID, d *wire.Datagram) {
 		n.attachVersion(d)
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -1,7 +1,7 @@
-// Package core is a router's decisions as one pure state machine: inputs by Step
-// and Tick, outputs as values from Ready. It has no I/O, clock, goroutine, lock
-// or global randomness, so that every failure replays as a table test.
-// docs/CORE.md lists each input and output and their order.
+// Package core makes a router's decisions in one pure state machine: Step and Tick take inputs,
+// Ready returns outputs as values. It has no I/O, clock, goroutine, lock or global randomness,
+// so every failure can be replayed as a table test. docs/CORE.md lists every input and output
+// and their order.
 package core
 
 import (
@@ -22,15 +22,15 @@
 const (
 	// TickInterval is how often the driver calls Tick.
 	TickInterval = 50 * time.Millisecond
-	// MaxTickGap is the gap between two ticks after which the node takes itself
-	// to have been frozen. It is shorter than any lease.
+	// MaxTickGap is the gap between two ticks from which on the node assumes that its process
+	// was frozen. It is shorter than any lease.
 	MaxTickGap = time.Second
 
 	ledgerInterval          = 5 * time.Second
 	poolCopyInterval        = time.Second
 	poolCheckInterval       = 200 * time.Millisecond
-	resignTimeout           = 10 * time.Second // of silence, when another is the scheduler
-	idlePoolTTL             = 10 * time.Minute // of silence; a new start costs the settling time
+	resignTimeout           = 10 * time.Second // without reports, when another router is the scheduler
+	idlePoolTTL             = 10 * time.Minute // without reports; a scheduler that starts anew grants nothing while it settles
 	peerWaitTimeout         = 3 * time.Second
 	fetchRetryInterval      = time.Second
 	drainTTL                = time.Minute
@@ -41,7 +41,7 @@
 	maxCellsPerCopy         = 64
 )
 
-// Settings of a node, fixed for the process.
+// Settings of a node, fixed for the life of the process.
 type Settings struct {
 	ID     wire.NodeID
 	Inc    wire.Incarnation
@@ -49,15 +49,15 @@
 	Public string // base URL for callers
 	Seeds  []wire.NodeID
 	Sched  sched.Options
-	Seed   uint64 // of the node's own random numbers
+	Seed   uint64 // of the node's random numbers
 }
 
-// DefaultSched is the scheduler chosen by measurement; docs/DESIGN.md has why.
+// DefaultSched returns the default scheduler options; docs/DESIGN.md explains them.
 func DefaultSched() sched.Options {
 	return sched.Options{Horizon: 10 * time.Second, Settle: 500 * time.Millisecond, Credits: true}
 }
 
-// Node is one router's control state. One goroutine owns it.
+// Node is the control state of one router. One goroutine owns it.
 type Node struct {
 	set        Settings
 	ver        *version.Version
@@ -66,9 +66,9 @@
 	led        *ledger.Ledger
 	witness    *claim.Witness
 	pools      map[version.ID]*hostedPool
-	offsets    map[version.ID]map[version.ID]uint64 // pool, organisation: copies from schedulers
+	offsets    map[version.ID]map[version.ID]uint64 // by pool and organisation: copies from schedulers
 	proposals  map[uint64]*pendingProposal
-	heldClaims map[uint64]*claim.Proposal // claims of requests past the witnesses
+	heldClaims map[uint64]*claim.Proposal // granted claims of requests that wait or run
 	drains     map[version.ID]*drain
 	crashes    *quarantine.Tracker
 	schedulers schedulerCache
@@ -82,7 +82,7 @@
 	lastLedger   time.Time
 	lastCopy     time.Time
 	lastPools    time.Time
-	versionSince time.Time // of the version in force
+	versionSince time.Time // when the version in force was accepted
 	nextCell     int
 	peerSeen     bool
 	leaving      bool
@@ -93,7 +93,7 @@
 	Counts Counts
 }
 
-// Counts are the node's totals since its start, beside the entry's own.
+// Counts are the node's totals since its start, in addition to those of its entry.
 type Counts struct {
 	Woke, Stale, SameRevision, Takeovers uint64
 }
@@ -109,13 +109,13 @@
 }
 
 type drain struct {
-	learnedAt  time.Time // learned
+	learnedAt  time.Time // when this node first learned of it
 	renewedAt  time.Time
 	firstHand  bool
-	persistent bool // does not lapse
+	persistent bool // does not expire
 }
 
-// New returns a node that has heard nobody.
+// New returns a node that knows no other routers but its seeds.
 func New(set Settings, now time.Time) *Node {
 	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
 	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Public: set.Public}
@@ -140,10 +140,10 @@
 	return n
 }
 
-// Version returns the version in force, or nil.
+// Version returns the configuration version in force, or nil.
 func (n *Node) Version() *version.Version { return n.ver }
 
-// Step takes one input.
+// Step handles one input.
 func (n *Node) Step(in Input, now time.Time) {
 	n.detectPause(now)
 	switch in := in.(type) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// Tick moves time on. The driver calls it every TickInterval.
+// Tick advances time. The driver calls it every TickInterval.
 func (n *Node) Tick(now time.Time) {
 	n.detectPause(now)
 	n.lastTick = now
@@ -204,8 +204,8 @@
 	}
 }
 
-// detectPause notices that the process was frozen: leases ran out meanwhile, so
-// every grant and scheduler role is given up before anything else is done.
+// detectPause detects that the process was frozen. Leases ran out meanwhile, so every grant and
+// scheduler role is given up before anything else is done.
 func (n *Node) detectPause(now time.Time) {
 	if now.Sub(n.lastTick) <= MaxTickGap {
 		return
@@ -218,11 +218,11 @@
 	n.members.Refresh()
 }
 
-// receive takes everything in a datagram.
+// receive handles every part of a datagram.
 func (n *Node) receive(d *wire.Datagram, now time.Time) {
 	before := n.incarnation(d.From)
 	if d.Inc < before {
-		return // a datagram of a process that has ended
+		return // from a former process of the router
 	}
 	for _, s := range n.members.Handle(d, now) {
 		n.outbox.Add(s)
@@ -267,8 +267,8 @@
 	return 0
 }
 
-// acceptVersion accepts a checked version if it is newer than the one in force:
-// versions never go back, whatever a source offers.
+// acceptVersion accepts a checked version if it is newer than the one in force. Versions never
+// go back, whatever a source offers.
 func (n *Node) acceptVersion(v *version.Version, now time.Time) {
 	if n.ver != nil {
 		cur := n.ver.Number
@@ -300,7 +300,7 @@
 	n.event("version-accepted", v.Number.Revision, "")
 }
 
-// offer asks for a version that a peer has and this node has not.
+// offerVersion fetches a version that a peer has if it is newer than the one in force.
 func (n *Node) offerVersion(from wire.NodeID, num version.Number, now time.Time) {
 	if num.Revision == 0 || n.rejected[num] {
 		return
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -17,7 +17,7 @@
 	return New(Settings{ID: id, Inc: wire.IncarnationAt(t0), Place: "a", Public: "http://" + string(id), Sched: DefaultSched(), Seed: 1}, t0)
 }
 
-// sent returns the datagram for a router among the outputs, or nil.
+// datagramTo returns the datagram for a router among the outputs, or nil.
 func datagramTo(outs []Output, to wire.NodeID) *wire.Datagram {
 	for _, o := range outs {
 		if s, ok := o.(Send); ok && s.To == to {
@@ -27,12 +27,12 @@
 	return nil
 }
 
-// Where a pool is scheduled depends on places: a router met by a datagram alone
-// must be asked for its own.
+// The scheduler of a pool depends on the routers' places. A router that is known from a
+// datagram without its update must be asked for its place.
 func TestRouterRequestsMissingPlaceOfPeer(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
 	b.Ready(t0)
-	for i := range 40 { // b's own update has been told often enough
+	for i := range 40 { // b has sent its own update as often as it does unasked
 		b.Step(Receive{&wire.Datagram{From: "10.0.0.3:1", Inc: 1, Ping: &wire.Ping{Seq: uint32(i)}}}, t0)
 		b.Ready(t0)
 	}
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -13,7 +13,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// schedulerCache keeps who schedules each pool until membership or version change.
+// schedulerCache caches the schedulers of each pool until membership or the version changes.
 type schedulerCache struct {
 	changes    int
 	schedulers map[version.ID][]wire.NodeID
@@ -26,9 +26,9 @@
 	return n.schedulersOf(pool)[0]
 }
 
-// schedulersOf returns the two first routers of the pool's rendezvous order: the
-// scheduler and the one that would follow it. Routers in the pool's region come
-// first, so that a cut between regions leaves each its own scheduler.
+// schedulersOf returns the first two routers of the pool's rendezvous order: the scheduler and
+// its standby. Routers in the pool's region come first, so that each side of a partition
+// between regions keeps a scheduler of its own.
 func (n *Node) schedulersOf(pool version.ID) []wire.NodeID {
 	if n.schedulers.schedulers == nil || n.schedulers.changes != n.members.Changes {
 		n.schedulers = schedulerCache{changes: n.members.Changes, schedulers: map[version.ID][]wire.NodeID{}}
@@ -81,8 +81,8 @@
 	return ""
 }
 
-// report takes a router's report. Whoever is reported to is the scheduler, so
-// that two views which disagree for a moment stop no request.
+// handleReport handles a router's report. A router that receives a report acts as the pool's
+// scheduler, so that no request is blocked while two routers disagree on who the scheduler is.
 func (n *Node) handleReport(from wire.NodeID, inc wire.Incarnation, r *wire.Report, now time.Time) {
 	if n.ver == nil || n.ver.Pools[r.Pool] == nil {
 		return
@@ -116,9 +116,9 @@
 	return out
 }
 
-// fraction is the part of every slot this side may grant. Routers out of reach
-// that the VM list names may be on the other side of a cut with a scheduler of
-// their own; a single one is taken to have died.
+// slotFraction is the fraction of every slot count that this node's schedulers may grant.
+// Routers that the VM list names but that are unreachable may be on the other side of a
+// partition with a scheduler of their own; a single one is assumed to have died.
 func (n *Node) slotFraction() float64 {
 	roster := n.members.Roster()
 	live := map[wire.NodeID]bool{}
@@ -148,7 +148,7 @@
 
 func (n *Node) poolIDs() []version.ID { return slices.Sorted(maps.Keys(n.pools)) }
 
-// tickPools drops dead routers from the pools, and pools nobody reports to.
+// tickPools removes dead routers from the pools, and pools to which nobody reports.
 func (n *Node) tickPools(now time.Time) {
 	if len(n.pools) == 0 || now.Sub(n.lastPools) < poolCheckInterval {
 		return
@@ -170,9 +170,9 @@
 	}
 }
 
-// sendLedger tells the schedulers of full pools what this router served since it
-// last told, over all pools; and those that would follow them, since cells that
-// came in through a router that dies would be lost with its scheduler.
+// sendLedger sends the service received through this router since the last call, over all
+// pools, to the schedulers of saturated pools. The standbys get it too, since the cells of a
+// router that dies would otherwise be lost together with its scheduler.
 func (n *Node) sendLedger() {
 	if n.ver == nil {
 		return
@@ -215,8 +215,8 @@
 	return out
 }
 
-// copyPools sends what routers' reports could not rebuild to the router that
-// would follow: offsets, and the cells of routers that are gone.
+// copyPools sends to each pool's standby what it could not rebuild from routers' reports:
+// offsets, and the ledger cells of dead routers.
 func (n *Node) copyPools() {
 	for _, id := range n.poolIDs() {
 		standby := n.standby(id)
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// deadCells returns the next few ledger cells of routers that are gone, in turn.
+// deadCells returns the ledger cells of dead routers, a few at a time in rotation.
 func (n *Node) deadCells() []wire.Cell {
 	var all []wire.Cell
 	for _, m := range n.members.All() {
@@ -257,7 +257,7 @@
 	return all[from:min(from+maxCellsPerCopy, len(all))]
 }
 
-// adopt takes a scheduler's copy.
+// adoptPoolState merges the state that a scheduler sent.
 func (n *Node) adoptPoolState(s *wire.PoolState, now time.Time) {
 	for _, c := range s.Cells {
 		n.led.Merge(c.Node, c.Inc, c.Org, c.NormService)
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -12,9 +12,9 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Choosing a pool's schedulers sorted the membership's own list of live routers, which others
-// search as a list by name: after a scheduler had died, routers that live were missing from
-// it, and the pool's slots idled.
+// Ranking routers for a pool sorted the membership's own list of live routers in place, which
+// others search as a list sorted by name. After a scheduler died, live routers were missing
+// from it and the pool's slots idled.
 func TestRankingRoutersDoesNotReorderLiveList(t *testing.T) {
 	now := time.Unix(0, 0)
 	n := New(Settings{ID: "10.0.0.0:1", Inc: 1, Place: "a", Sched: DefaultSched()}, now)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -12,11 +12,12 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// claimRetryAfter is when a caller should try again after the witnesses were out
-// of reach: membership and the VM list have had time to change.
+// claimRetryAfter is when a caller should retry after the witnesses were unreachable. By then
+// membership and the VM list have had time to change.
 const claimRetryAfter = 5 * time.Second
 
-// arrive takes a request: with a key, to the witnesses first.
+// arrive handles a new request. A request with a key first needs the consent of the key's
+// witnesses.
 func (n *Node) arrive(in Arrive, now time.Time) {
 	if in.Key == nil {
 		n.entry.Arrive(in.Request, now)
@@ -28,7 +29,7 @@
 	n.advanceProposal(a, now)
 }
 
-// pursue asks the witnesses that have not voted and acts on what is proved.
+// advanceProposal sends the claim to witnesses that have not voted, and acts on the result.
 func (n *Node) advanceProposal(a *pendingProposal, now time.Time) {
 	for _, id := range a.proposal.Due(now) {
 		d := n.outbox.To(id)
@@ -97,7 +98,7 @@
 	}
 }
 
-// finish ends a running request. Its key stays held: it may have run.
+// finish ends a running request. Its key stays held, since the request may have run.
 func (n *Node) finish(in Finish, now time.Time) {
 	n.entry.Finish(in.ID, in.Units, in.Sample, now)
 	ask := n.heldClaims[in.ID]
@@ -112,7 +113,7 @@
 	}
 }
 
-// handleClaims answers claims as a witness and takes votes as an asker.
+// handleClaims answers claims as a witness, and handles votes on this router's own proposals.
 func (n *Node) handleClaims(d *wire.Datagram, now time.Time) {
 	for i := range d.Claims {
 		if v, answer := n.witness.Handle(&d.Claims[i], now); answer {
@@ -138,8 +139,9 @@
 	}
 }
 
-// markDrain notes that an upstream is leaving. First-hand news is told to others
-// for as long as it holds, hearsay for a few seconds. What is not firm lapses.
+// markDrain records that an upstream is leaving. First-hand information is announced to others
+// as long as it holds, second-hand information for a few seconds. A drain that is not
+// persistent expires.
 func (n *Node) markDrain(id version.ID, how drain, now time.Time) {
 	d := n.drains[id]
 	if d == nil {
@@ -182,7 +184,7 @@
 	}
 }
 
-// drainsToAnnounce lists the upstreams this node tells others of.
+// drainsToAnnounce lists the leaving upstreams that this node announces to others.
 func (n *Node) drainsToAnnounce() []version.ID {
 	var out []version.ID
 	for id, d := range n.drains {
--- a/internal/core/sched/account.go
+++ b/internal/core/sched/account.go
@@ -9,16 +9,16 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// account is one organisation's standing in a pool.
+// account is the state of one organisation in a pool.
 type account struct {
 	org              version.ID
-	offset           float64 // service it is taken to have had; grows only
-	waiting          int     // over all routers
-	pending          int     // outstanding grants, already meant for waiting requests
-	held             int     // slots held and outstanding
+	offset           float64 // service that it is treated as having received; only grows
+	waiting          int     // requests, over all routers
+	pending          int     // unacknowledged grants, each for one of the waiting requests
+	held             int     // slots held or granted
 	lastWait         time.Time
-	earned           float64 // service over share since gainFrom, decayed
-	slotSeconds      float64 // slot-seconds that earned it, decayed
+	earned           float64 // service divided by share, decayed
+	slotSeconds      float64 // slot-seconds in which it was earned, decayed
 	accruedAt        time.Time
 	allowedUpstreams []version.ID
 }
@@ -33,10 +33,10 @@
 	return a
 }
 
-// wait moves an account's waiting count by n. An organisation that returns from
-// idleness starts at the virtual time now served: no hoarding, no penalty
-// (start-time fair queueing, Goyal 1996). One whose oldest request is older than
-// this scheduler was waiting at the former one, and keeps its standing.
+// addWaiting adds n to an account's waiting requests. An organisation that returns from
+// idleness starts at the present virtual time, so that idleness neither saves up service nor is
+// penalised (start-time fair queueing, Goyal 1996). An organisation whose oldest request is
+// older than this scheduler was already waiting at the former one and keeps its standing.
 func (p *Pool) addWaiting(a *account, n int, oldest, now time.Time) {
 	idle := a.waiting == 0 && n > 0 && now.Sub(a.lastWait) > idleTimeout
 	if idle && oldest.After(p.started) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// earn books service that slots held under this scheduler have earned. What a
-// router served before its first report here says nothing about a slot's rate.
+// recordEarned records service earned by slots that were held under this scheduler. What a
+// router served before its first report to this scheduler says nothing about a slot's rate.
 func (a *account) recordEarned(told map[version.ID]uint64, in *wire.Row) {
 	if last, known := told[in.Org]; known && in.NormService > last {
 		a.earned += float64(in.NormService-last) / ledger.Scale
@@ -57,7 +57,7 @@
 	told[in.Org] = in.NormService
 }
 
-// addHeld moves the slots held, after booking the slot-seconds until now.
+// addHeld adds n to the slots held, after accruing the slot-seconds until now.
 func (a *account) addHeld(n int, now time.Time) {
 	a.accrue(now)
 	a.held += n
@@ -75,19 +75,18 @@
 }
 
 const (
-	// minSlotSeconds is how much an account must have run before its own rate is
-	// believed over the pool's.
+	// minSlotSeconds is the amount of slot time from which on an account's own rate is used
+	// instead of the pool's.
 	minSlotSeconds = 10
-	// learningDuration is how long a new scheduler takes every slot to earn as much as at
-	// the users' bound on the time between tokens. It has seen no earnings yet; a
-	// rate of nothing would switch the look-ahead off just when many slots are
-	// free at once.
+	// learningDuration is how long a new scheduler assumes that every slot earns as much as at
+	// the users' limit on the time between tokens. It has not observed any earnings yet, and a
+	// rate of zero would disable the look-ahead just when many slots are free at once.
 	learningDuration = 10 * time.Second
-	// initialRate is that earning, in tokens for each slot and second.
+	// initialRate is the rate assumed meanwhile, in tokens per slot and second.
 	initialRate = 1000.0 / maxGapMS
 )
 
-// rate is service over share for each slot and second.
+// rate is the account's service per slot and second, divided by share.
 func (a *account) rate(fallback float64) float64 {
 	if a.slotSeconds < minSlotSeconds {
 		return fallback
@@ -95,12 +94,12 @@
 	return a.earned / a.slotSeconds
 }
 
-// served is the account's virtual time: service over share, in units.
+// served is the account's virtual time: service divided by share, in units.
 func (p *Pool) served(a *account) float64 {
 	return a.offset + float64(p.led.Sum(a.org))/ledger.Scale
 }
 
-// score orders accounts for the next slot; the least goes first.
+// score orders accounts for the next slot; the lowest goes first.
 func (p *Pool) score(a *account, poolRate float64) float64 {
 	share := 1.0
 	if o := p.ver.Organisations[a.org]; o != nil {
@@ -114,8 +113,7 @@
 	return p.served(a) + ahead
 }
 
-// poolRate is the service for each slot and second over all accounts, not
-// divided by share.
+// poolRate is the service per slot and second over all accounts, not divided by share.
 func (p *Pool) poolRate() float64 {
 	if p.learning() {
 		return initialRate
@@ -136,7 +134,7 @@
 // learning reports whether this scheduler is too new to know what slots earn.
 func (p *Pool) learning() bool { return p.plannedAt.Sub(p.started) < learningDuration }
 
-// upstreamsFor caches which upstreams an organisation's places allow.
+// upstreamsFor returns the upstreams in the organisation's places. The result is cached.
 func (p *Pool) upstreamsFor(a *account) []version.ID {
 	if a.allowedUpstreams != nil {
 		return a.allowedUpstreams
@@ -154,18 +152,18 @@
 	return a.allowedUpstreams
 }
 
-// limit adapts how many requests an upstream runs at once, by additive increase
-// and multiplicative decrease on the time between tokens.
+// limit adapts the number of concurrent requests at an upstream to the time between tokens, by
+// additive increase and multiplicative decrease, and ejects an upstream that fails.
 type limit struct {
-	max          int
-	now          float64
+	max          int     // slots of the upstream
+	now          float64 // concurrent requests allowed at present
 	lastDecrease time.Time
 	targetGapMS  uint32
-	ejectedUntil time.Time // after failures, no new work until then
+	ejectedUntil time.Time // no new grants until then, after failures
 	ejection     time.Duration
 }
 
-// Adaptive limit: the target is the users' bound on the time between tokens.
+// Constants of the adaptive limit. The target is the users' limit on the time between tokens.
 const (
 	maxGapMS         = 75
 	decreaseFactor   = 0.9
@@ -206,7 +204,7 @@
 	}
 }
 
-// capacity is the slots this scheduler may fill at an upstream.
+// capacity is the number of slots that this scheduler may fill at an upstream.
 func (p *Pool) capacity(u *upstream) int {
 	if u.draining || u.def.Closed() || p.plannedAt.Before(u.limit.ejectedUntil) {
 		return 0
--- a/internal/core/sched/plan.go
+++ b/internal/core/sched/plan.go
@@ -16,8 +16,8 @@
 	Grants wire.Grants
 }
 
-// Plan gives free slots away and returns what to send: an answer to each report,
-// new grants, and grants not yet acknowledged.
+// Plan grants free slots and returns what to send: replies to reports, new grants, and
+// unacknowledged grants that are due to be resent.
 func (p *Pool) Plan(now time.Time) []Send {
 	p.plannedAt = now
 	p.reclaim(now)
@@ -28,9 +28,10 @@
 	return p.compose(now)
 }
 
-// reclaim ends grants whose lease is over. The router counts it from the report
-// that the grants answered, which is earlier than when that report was heard. It
-// may have taken some of the numbers and not others, so both begin anew.
+// reclaim releases grants whose lease is over. The router counts the lease from the report that
+// the grants answered, which is earlier than when the scheduler received that report. The
+// router may have accepted some of the grant numbers and not others, so both sides restart the
+// numbering.
 func (p *Pool) reclaim(now time.Time) {
 	for _, id := range p.routerIDs() {
 		rt := p.routers[id]
@@ -45,7 +46,7 @@
 	}
 }
 
-// longestLease is that of the grants on their way to a router.
+// longestLease is the longest lease of the router's unacknowledged grants.
 func (rt *router) longestLease() time.Duration {
 	for _, o := range rt.out {
 		if o.Org != 0 {
@@ -55,9 +56,9 @@
 	return CreditLease
 }
 
-// grantWaiting fills free slots from the backlog, least score first. The pool is
-// full when requests are left for which there is no slot: a request that comes to
-// a free slot is no backlog.
+// grantWaiting fills free slots from the backlog, lowest score first. The pool is saturated
+// only when requests remain that get no slot: a request that arrives at a free slot is no
+// backlog.
 func (p *Pool) grantWaiting(now time.Time) {
 	waiting := p.waitingAccounts()
 	rate := p.poolRate()
@@ -74,7 +75,7 @@
 	p.updateSaturation(now)
 }
 
-// updateSaturation tells every router when the pool turns full, or free again.
+// updateSaturation notifies every router when the pool becomes saturated, or free again.
 func (p *Pool) updateSaturation(now time.Time) {
 	for _, a := range p.accounts {
 		if a.org != 0 && a.waiting > a.pending {
@@ -87,7 +88,8 @@
 	}
 }
 
-// replyToAll sends every router an answer now: the pool turned full, or free again.
+// replyToAll sends every router a reply in this round, since the pool has become saturated or
+// free.
 func (p *Pool) replyToAll() {
 	for _, rt := range p.routers {
 		rt.sendNow = true
@@ -123,8 +125,8 @@
 	return least
 }
 
-// next picks the account with the least score that has a request no grant is on
-// its way to, and an upstream in its places with a free slot.
+// next returns the account with the lowest score that has a request without a grant and a free
+// slot at an upstream in its places, and that upstream.
 func (p *Pool) next(waiting []*account, rate float64) (*account, *upstream) {
 	var best *account
 	var bestUp *upstream
@@ -144,7 +146,7 @@
 	return best, bestUp
 }
 
-// freest returns the allowed upstream with the largest free part, or nil.
+// leastLoaded returns the allowed upstream with the largest fraction of free slots, or nil.
 func (p *Pool) leastLoaded(a *account) *upstream {
 	var best *upstream
 	bestFree := 0.0
@@ -161,8 +163,8 @@
 	return best
 }
 
-// give sends the slot to the router whose request is most urgent, then oldest.
-// It returns false when no router that was heard lately has one.
+// grantOne grants a slot to the router with the most urgent, then the oldest request. It
+// returns false when no router that reported recently has one.
 func (p *Pool) grantOne(a *account, u *upstream, now time.Time) bool {
 	var best wire.NodeID
 	var bestRow *row
@@ -184,7 +186,8 @@
 	return true
 }
 
-// ahead orders two routers' requests of one organisation.
+// precedes reports whether the first router's requests of an organisation go before the
+// second's.
 func (p *Pool) precedes(org version.ID, x *router, a *row, y *router, b *row) bool {
 	px, py := x.pendingFor(org), y.pendingFor(org)
 	ux, uy := int(a.urgent) > px, int(b.urgent) > py
@@ -194,8 +197,8 @@
 	return p.weightedAge(a, px) > p.weightedAge(b, py)
 }
 
-// weightedAge favours the oldest request; each grant on its way to a router counts
-// against it, so that one old request does not draw every slot there.
+// weightedAge favours the oldest request. Each unacknowledged grant to the router counts
+// against it, so that one old request does not attract every slot there.
 func (p *Pool) weightedAge(r *row, pending int) float64 {
 	left := float64(int(r.waiting)-pending) / float64(r.waiting)
 	return p.plannedAt.Sub(r.oldestArrival).Seconds() * left
@@ -211,7 +214,7 @@
 	return n
 }
 
-// issue numbers a grant and counts its slots as used.
+// issueGrant numbers a grant and counts its slots as used.
 func (p *Pool) issueGrant(rt *router, org version.ID, u *upstream, n int, now time.Time) {
 	g := wire.Grant{No: rt.nextNo, Org: org, Upstream: u.def.ID, N: uint32(n)}
 	rt.nextNo++
@@ -221,8 +224,8 @@
 	p.account(org, now).pending += n
 }
 
-// grantCredits hands half of the spare slots to the active routers while nothing
-// waits, so that their next requests start without asking.
+// grantCredits spreads half of the spare slots over the active routers while nothing waits, so
+// that their next requests start without a round trip to the scheduler.
 func (p *Pool) grantCredits(now time.Time) {
 	if !p.opt.Credits || p.saturated {
 		return
@@ -260,7 +263,7 @@
 	return n
 }
 
-// credits counts a router's unspent and travelling credits.
+// credits returns the number of the router's unspent and unacknowledged credits.
 func (rt *router) credits() int {
 	n := rt.pendingFor(0)
 	if row := rt.rows[0]; row != nil {
@@ -311,8 +314,8 @@
 	return out
 }
 
-// routerIDs returns the routers in order. It is asked for every grant, and routers
-// come and go rarely.
+// routerIDs returns the routers in sorted order. The result is cached: it is needed for every
+// grant, and routers come and go rarely.
 func (p *Pool) routerIDs() []wire.NodeID {
 	if p.sortedRouters == nil {
 		p.sortedRouters = slices.Sorted(maps.Keys(p.routers))
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -1,10 +1,10 @@
-// Package sched decides which waiting request of which organisation takes the
-// next free slot of a pool. One router at a time is the scheduler of a pool; it
-// holds soft state only, rebuilt from the routers' reports.
+// Package sched decides which organisation's waiting request gets the next free slot of a pool.
+// One router at a time is the scheduler of a pool. It holds soft state only, rebuilt from the
+// routers' reports.
 //
-// The next slot goes to the organisation with the least service received over
-// share, plus what its running requests will receive within a short horizon.
-// Looking ahead by slots held, not by cost hints, keeps wrong hints harmless.
+// The next slot goes to the organisation with the smallest sum of service received, divided by
+// share, and the service that its running requests will receive within a short horizon. The
+// look-ahead is based on held slots and not on cost hints, so wrong hints do no harm.
 package sched
 
 import (
@@ -18,28 +18,29 @@
 
 // Timing of grants.
 const (
-	// Lease is how long a grant may be used, counted by the router from before
-	// it asked, and by the scheduler from after it gave.
+	// Lease is how long a grant may be used. The router counts it from before it sent the
+	// report that the grant answers, the scheduler from after it gave the grant.
 	Lease = 5 * time.Second
-	// CreditLease is that of a standing credit; a full pool calls credits back.
+	// CreditLease is the lease of a standing credit. A saturated pool calls credits back
+	// earlier.
 	CreditLease            = 10 * time.Second
 	leaseMargin            = 500 * time.Millisecond
 	resendInterval         = 1500 * time.Millisecond // longer than a router may delay its acknowledgement
-	idleReplyInterval      = 3 * time.Second         // the same, in a pool in which nothing waits
+	idleReplyInterval      = 3 * time.Second         // delay of a reply without grants while nothing waits; a router may delay its acknowledgement as long
 	saturatedHold          = 2 * time.Second         // without waiting requests until the pool counts as free
-	saturatedReplyInterval = 800 * time.Millisecond  // of a report that brought no grant
-	maxReportAge           = 3 * time.Second         // no new grant to a router silent for longer
+	saturatedReplyInterval = 800 * time.Millisecond  // delay of a reply without grants in a saturated pool
+	maxReportAge           = 3 * time.Second         // age of a router's last report up to which it gets new grants
 	idleTimeout            = 3 * time.Second
 	rateHalfLife           = 20 * time.Second
-	routerTTL              = 150 * time.Second // three times as long as a router with work may be
+	routerTTL              = 150 * time.Second // three times the longest silence of a router with requests
 	maxCreditsPerRouter    = 8
 )
 
 // Options of a scheduler.
 type Options struct {
-	Horizon time.Duration // how far ahead running requests are charged
-	Settle  time.Duration // a new scheduler listens this long before it grants
-	Credits bool          // hand out standing credits while nothing waits
+	Horizon time.Duration // look-ahead for which running requests are charged
+	Settle  time.Duration // time for which a new scheduler only receives reports
+	Credits bool          // issue standing credits while nothing waits
 }
 
 // Pool is the scheduler's state of one pool. The control goroutine owns it.
@@ -51,12 +52,12 @@
 	upstreams     map[version.ID]*upstream
 	upstreamOrder []version.ID
 	routers       map[wire.NodeID]*router
-	sortedRouters []wire.NodeID // of routers, sorted; nil when they have changed
+	sortedRouters []wire.NodeID // keys of routers; nil after a change
 	accounts      map[version.ID]*account
-	accountOrder  []*account // as they came, so that sums of floats do not depend on a map
+	accountOrder  []*account // in order of creation, so that sums of floats do not depend on map order
 	led           *ledger.Ledger
-	virtualTime   float64 // virtual time: the least backlogged account's at the last grant
-	slotFraction  float64 // of each upstream's slots this scheduler may use, 1 without a cut
+	virtualTime   float64 // of the backlogged account with the least service at the last grant
+	slotFraction  float64 // of each upstream's slots that this scheduler may use; 1 without a partition
 	granted       uint64
 	saturated     bool
 	backlogAt     time.Time // last Plan with a backlog
@@ -65,41 +66,41 @@
 
 type upstream struct {
 	def      *version.Upstream
-	used     int // held and outstanding
+	used     int // slots held or granted
 	limit    limit
 	draining bool
 }
 
 type router struct {
 	inc             wire.Incarnation
-	epoch           uint32 // the router's numbering of grants
-	reset           bool   // the router counts grants that this state does not know
+	epoch           uint32 // of the router's numbering of grants
+	reset           bool   // the router knows grants that this scheduler does not
 	seq             uint32
 	reportSentMS    uint32
 	acked           uint32
 	nextNo          uint32
 	reportedAt      time.Time
-	wantsCredits    bool // standing credits
+	wantsCredits    bool // uses standing credits
 	sentAt          time.Time
-	replyDue        bool // an answer
-	sendNow         bool // grants that were not sent yet
+	replyDue        bool // a report has not been answered
+	sendNow         bool // without waiting for the reply interval
 	rows            map[version.ID]*row
-	lastNormService map[version.ID]uint64 // service last told, to see what slots earn
-	out             []wire.Grant          // not acknowledged
+	lastNormService map[version.ID]uint64 // by organisation, in the last report; measures what slots earn
+	out             []wire.Grant          // grants not yet acknowledged
 }
 
 // ageUnit is the unit of wire.Row.OldestAge.
 const ageUnit = 100 * time.Millisecond
 
-// row is what one router has of one organisation.
+// row is one router's requests of one organisation.
 type row struct {
 	waiting       uint32
 	urgent        uint32
-	oldestArrival time.Time // arrival of the oldest waiting request
+	oldestArrival time.Time // of the waiting requests
 	held          map[version.ID]uint32
 }
 
-// New returns a scheduler of a pool that has heard nobody yet.
+// New returns a scheduler of a pool that has received no reports yet.
 func New(id version.ID, v *version.Version, led *ledger.Ledger, opt Options, now time.Time) *Pool {
 	p := &Pool{
 		id:           id,
@@ -114,7 +115,7 @@
 	return p
 }
 
-// SetVersion takes the upstreams and organisations of a newer version.
+// SetVersion switches to the upstreams and organisations of a newer version.
 func (p *Pool) SetVersion(v *version.Version) {
 	p.ver = v
 	old := p.upstreams
@@ -138,18 +139,18 @@
 	}
 }
 
-// SetSlotFraction limits the scheduler to a part of every upstream's slots, while
-// routers of the VM list are out of reach and may have a scheduler of their own.
+// SetSlotFraction limits the scheduler to a fraction of every upstream's slots while routers of
+// the VM list are unreachable and may have a scheduler of their own.
 func (p *Pool) SetSlotFraction(f float64) { p.slotFraction = f }
 
-// Drain stops new work to an upstream that is leaving.
+// Drain stops new grants at an upstream that is leaving, or allows them again.
 func (p *Pool) Drain(id version.ID, draining bool) {
 	if u := p.upstreams[id]; u != nil {
 		u.draining = draining
 	}
 }
 
-// Report takes a router's report. An older one than the last is dropped.
+// Report handles a router's report. A report older than the last one is dropped.
 func (p *Pool) Report(from wire.NodeID, inc wire.Incarnation, r *wire.Report, now time.Time) {
 	rt := p.routers[from]
 	if rt != nil && inc < rt.inc {
@@ -157,7 +158,7 @@
 	}
 	if rt == nil || inc > rt.inc {
 		p.RemoveRouter(from, now)
-		// Without a full report, what the router holds is not known yet.
+		// Only a full report says what the router holds.
 		rt = &router{inc: inc, rows: map[version.ID]*row{}, lastNormService: map[version.ID]uint64{}, epoch: r.Epoch, nextNo: 1, reset: !r.Full}
 		p.routers[from] = rt
 		p.sortedRouters = nil
@@ -191,9 +192,10 @@
 	}
 }
 
-// restart begins the numbering of grants anew, as the router has: it follows this
-// scheduler again after another, or was asked to. Grants on their way are void,
-// and it will not take them, or their slots would never come back.
+// restartNumbering restarts the numbering of a router's grants, as the router has done because
+// it follows this scheduler again after another one, or because it was asked to. Grants under
+// way are void: the router will not accept them, and their slots would otherwise never be
+// freed.
 func (p *Pool) restartNumbering(rt *router, epoch uint32, now time.Time) {
 	for _, o := range rt.out {
 		p.releaseGrant(o, now)
@@ -201,10 +203,10 @@
 	rt.epoch, rt.reset, rt.out, rt.acked, rt.nextNo = epoch, false, nil, 0, 1
 }
 
-// acknowledge ends the grants a router has taken; its rows now show them.
+// acknowledge releases the grants that a router has accepted; its rows now include them.
 func (p *Pool) acknowledge(rt *router, acked uint32, now time.Time) {
 	if acked >= rt.nextNo {
-		rt.reset = true // it counts grants of a state this scheduler has lost
+		rt.reset = true // the grants are of a state that this scheduler has lost
 		return
 	}
 	rt.acked = max(rt.acked, acked)
@@ -219,7 +221,8 @@
 	rt.out = kept
 }
 
-// setRow takes a row: counts are absolute, held ones only where they changed.
+// setRow applies a row of a report. Counts are absolute; held counts are listed only where they
+// changed.
 func (p *Pool) setRow(from wire.NodeID, rt *router, in *wire.Row, now time.Time) {
 	r := rt.rows[in.Org]
 	if r == nil {
@@ -264,7 +267,7 @@
 	}
 }
 
-// use moves the count of slots held at an upstream by an organisation.
+// addUsed adds n to the slots that an organisation holds at an upstream.
 func (p *Pool) addUsed(org, up version.ID, n int, now time.Time) {
 	if u := p.upstreams[up]; u != nil {
 		u.used += n
@@ -272,14 +275,15 @@
 	p.account(org, now).addHeld(n, now)
 }
 
-// end takes back a grant's slots: acknowledged, expired, or its router lost.
+// releaseGrant frees the slots of a grant that was acknowledged or has expired, or whose router
+// is gone.
 func (p *Pool) releaseGrant(g wire.Grant, now time.Time) {
 	p.addUsed(g.Org, g.Upstream, -int(g.N), now)
 	p.account(g.Org, now).pending -= int(g.N)
 }
 
-// Lost drops what a dead or restarted router held and waited for. Its service
-// stays in the ledger.
+// RemoveRouter removes the held and waiting requests of a dead or restarted router. The service
+// it gave stays in the ledger.
 func (p *Pool) RemoveRouter(id wire.NodeID, now time.Time) {
 	rt := p.routers[id]
 	if rt == nil {
@@ -293,16 +297,16 @@
 	p.sortedRouters = nil
 }
 
-// Ended drops what a former process of a router held: the new one may have no
-// work in this pool, and then never reports. So does a router that was silent
-// for longer than it may be with work.
+// RemoveStale removes the requests of a router's former process, since the new process never
+// reports while it has no requests in this pool. It also removes a router that has been silent
+// for longer than it may be while it has requests.
 func (p *Pool) RemoveStale(id wire.NodeID, inc wire.Incarnation, now time.Time) {
 	if rt := p.routers[id]; rt != nil && (rt.inc < inc || now.Sub(rt.reportedAt) > routerTTL) {
 		p.RemoveRouter(id, now)
 	}
 }
 
-// Offsets returns the accounts' offsets, for the routers that would follow.
+// Offsets returns the accounts' offsets, for the standby.
 func (p *Pool) Offsets() []wire.Offset {
 	var out []wire.Offset
 	for org, a := range p.accounts {
@@ -314,7 +318,7 @@
 	return out
 }
 
-// Adopt merges offsets a former scheduler copied, by the larger.
+// Adopt merges offsets copied from a former scheduler; the larger value wins.
 func (p *Pool) Adopt(offsets []wire.Offset, now time.Time) {
 	for _, o := range offsets {
 		a := p.account(o.Org, now)
@@ -322,8 +326,7 @@
 	}
 }
 
-// Backlog returns, for status pages, the waiting and held requests of each
-// organisation.
+// Backlog returns the waiting and held requests of each organisation, for status pages.
 func (p *Pool) Backlog() map[version.ID]Load {
 	out := map[version.ID]Load{}
 	for org, a := range p.accounts {
@@ -334,14 +337,14 @@
 	return out
 }
 
-// Load is one organisation's part of a pool; Service is over share, in units.
+// Load is one organisation's requests in a pool. Service is divided by share, in units.
 type Load struct {
 	Waiting int     `json:"waiting"`
 	Held    int     `json:"held"`
 	Service float64 `json:"service"`
 }
 
-// UpstreamLoad is one upstream as its scheduler sees it.
+// UpstreamLoad is an upstream's load as its scheduler sees it.
 type UpstreamLoad struct {
 	Name  string `json:"name"`
 	Used  int    `json:"used"`
@@ -350,7 +353,7 @@
 	Drain bool   `json:"leaving"`
 }
 
-// Upstreams returns every upstream's load, in the version's order.
+// Upstreams returns every upstream's load, in the order of the version.
 func (p *Pool) Upstreams() []UpstreamLoad {
 	out := make([]UpstreamLoad, 0, len(p.upstreamOrder))
 	for _, id := range p.upstreamOrder {
@@ -360,8 +363,8 @@
 	return out
 }
 
-// Granted returns how many slots this scheduler gave to waiting requests.
+// Granted returns the number of slots that this scheduler has granted to waiting requests.
 func (p *Pool) Granted() uint64 { return p.granted }
 
-// Routers returns how many routers report to this scheduler.
+// Routers returns the number of routers that report to this scheduler.
 func (p *Pool) Routers() int { return len(p.routers) }
--- a/internal/core/sched/sched_test.go
+++ b/internal/core/sched/sched_test.go
@@ -14,8 +14,8 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// testVersion has one pool: upstream u1 in place a, u2 in place b, two slots
-// each; organisation x may use both, y only a.
+// testVersion has one pool: upstream u1 in place a and u2 in place b, with two slots each.
+// Organisation x may use both places, y only a.
 func testVersion(t *testing.T) *version.Version {
 	t.Helper()
 	p := version.Packed{Revision: 1, Files: map[string]string{
@@ -120,8 +120,8 @@
 	assert.Zero(t, granted(f.Plan(later.Add(2*resendInterval))))
 }
 
-// A router that followed another scheduler meanwhile numbers its grants anew;
-// the slots of those it never took come back.
+// A router that followed another scheduler in between restarts its numbering of grants. The
+// slots of grants that it never accepted must be freed.
 func TestNewEpochVoidsUnacknowledgedGrants(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Epoch: 1, Rows: []wire.Row{waiting(f.x, 4)}}, t0)
@@ -184,7 +184,7 @@
 	f.Report("idle", 1, &wire.Report{Seq: 1, Full: true}, t0)
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, WantsCredits: true}, t0)
 	sends := f.Plan(t0)
-	require.Equal(t, 2, granted(sends), "half of the spare slots, to who asks for them")
+	require.Equal(t, 2, granted(sends), "half of the spare slots, to the routers that want credits")
 	assert.Zero(t, sends[len(sends)-1].Grants.List[0].Org)
 	f.Report("r2", 1, &wire.Report{Seq: 1, Full: true, Rows: []wire.Row{waiting(f.x, 9)}}, t0)
 	for _, s := range f.Plan(t0) {
@@ -221,8 +221,8 @@
 	assert.InDelta(t, load[f.x].Service, load[f.y].Service, 0.01)
 }
 
-// A new scheduler must not take an organisation that has waited all along for
-// one returning from idleness: its service would be charged twice.
+// A new scheduler must not mistake an organisation that has been waiting all along for one that
+// returns from idleness: its service would be charged twice.
 func TestTakeoverDoesNotChargeWaitingOrganisationTwice(t *testing.T) {
 	f := newFixture(t, Options{})
 	row := wire.Row{Org: f.x, Waiting: 9, NormService: 100000, OldestAge: 50}
@@ -260,8 +260,8 @@
 	assert.Equal(t, 100.0, l.now)
 }
 
-// A router that restarts with nothing to do never reports again: what its former
-// process held must not stay.
+// A router that restarts without requests never reports again. The slots that its former
+// process held must be freed.
 func TestRestartedRouterReleasesSlotsOfFormerProcess(t *testing.T) {
 	f := newFixture(t, Options{})
 	held := []wire.Held{{Upstream: f.u1, N: 2}, {Upstream: f.u2, N: 2}}
@@ -283,8 +283,8 @@
 	assert.Equal(t, 4, granted(f.Plan(t0.Add(idleReplyInterval))))
 }
 
-// After reclaimed grants the router may lack numbers; without a reset it would
-// wait for them for ever.
+// After grants are reclaimed the router may lack some grant numbers. Without a reset it would
+// wait for them forever.
 func TestRouterIsResetAfterReclaimedGrants(t *testing.T) {
 	f := newFixture(t, Options{})
 	f.Report("r1", 1, &wire.Report{Seq: 1, Full: true, Epoch: 1, Rows: []wire.Row{waiting(f.x, 1)}}, t0)
@@ -298,8 +298,8 @@
 	assert.Zero(t, granted(sends))
 }
 
-// What was served under a former scheduler must not look like the earnings of a
-// slot here: the look-ahead would be wrong by as much for a minute.
+// Service received under a former scheduler must not count as earned by slots of this one: the
+// look-ahead would be wrong by as much for a minute.
 func TestTakeoverIgnoresServiceBeforeFirstReport(t *testing.T) {
 	f := newFixture(t, Options{})
 	row := wire.Row{Org: f.x, NormService: 50_000_000, Held: []wire.Held{{Upstream: f.u1, N: 2}}}
@@ -308,14 +308,14 @@
 	for i := range 20 {
 		now := t0.Add(time.Duration(i+1) * time.Second)
 		a.accrue(now)
-		row.NormService += 2 * 13 * ledger.Scale // two slots, a second, 13 units each
+		row.NormService += 2 * 13 * ledger.Scale // two slots, one second, 13 units each
 		f.Report("r1", 1, &wire.Report{Seq: uint32(2 + i), Rows: []wire.Row{row}}, now)
 	}
 	assert.InDelta(t, 13, a.rate(0), 0.5)
 }
 
-// Just after a takeover many slots are free at once and nothing has been earned
-// here yet: they must not all go to whoever is a little behind.
+// Just after a takeover many slots are free at once and no earnings have been observed yet. The
+// slots must not all go to the organisation that is slightly behind.
 func TestTakeoverSharesFreeSlots(t *testing.T) {
 	f := newFixture(t, Options{Horizon: 10 * time.Second, Settle: 9 * time.Second})
 	row := wire.Row{Org: f.x, NormService: 100_000, Waiting: 9, OldestAge: 90}
@@ -323,7 +323,7 @@
 	for i := range 10 {
 		now := t0.Add(time.Duration(i) * time.Second)
 		r := &wire.Report{Seq: uint32(1 + i), Full: i == 0, Rows: []wire.Row{row, other}}
-		r.Rows[0].Held = []wire.Held{{Upstream: f.u2, N: 2}} // x has all of u2
+		r.Rows[0].Held = []wire.Held{{Upstream: f.u2, N: 2}} // x holds all of u2
 		f.Report("r1", 1, r, now)
 	}
 	byOrg := map[version.ID]int{}
@@ -332,5 +332,5 @@
 			byOrg[g.Org]++
 		}
 	}
-	assert.Equal(t, 2, byOrg[f.y], "100 units behind weigh less than two slots for 10 s")
+	assert.Equal(t, 2, byOrg[f.y], "being 100 units behind weighs less than two slots for 10 s")
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// View is a copy of what an operator may see. It holds no content and no keys.
+// View is a copy of the state that operators may see. It holds no content and no keys.
 type View struct {
 	ID       wire.NodeID      `json:"id"`
 	Inc      wire.Incarnation `json:"incarnation"`
@@ -41,12 +41,12 @@
 	Public string      `json:"public"`
 }
 
-// PoolView is a pool this router schedules.
+// PoolView is a pool of which this router is the scheduler.
 type PoolView struct {
 	Service   string                `json:"service"`
 	Region    string                `json:"region"`
 	Routers   int                   `json:"routers"`
-	Granted   uint64                `json:"granted"` // slots, since this router took the role
+	Granted   uint64                `json:"granted"` // slots, since this router became scheduler
 	Upstreams []sched.UpstreamLoad  `json:"upstreams"`
 	Orgs      map[string]sched.Load `json:"organisations"`
 }
@@ -94,8 +94,8 @@
 	return pv
 }
 
-// IsReady reports whether the balancer may send callers here: a version is in
-// force, and peers had their chance to offer a newer one.
+// IsReady reports whether the load balancer may send callers here: a version is in force, and
+// peers have had the chance to offer a newer one.
 func (n *Node) IsReady(now time.Time) bool {
 	if n.ver == nil || n.leaving {
 		return false
@@ -103,8 +103,8 @@
 	return n.peerSeen || now.Sub(n.started) >= peerWaitTimeout
 }
 
-// Watches reports whether this router reads the configuration service: the first
-// few live routers of each place do, and everyone who has no version yet.
+// Watches reports whether this router reads the configuration service. The first few live
+// routers of each place do, and every router that has no version yet.
 func (n *Node) Watches() bool {
 	if n.ver == nil {
 		return true
@@ -118,8 +118,8 @@
 	return rank < watchersPerPlace
 }
 
-// Redirect returns the public address of a live router in one of the places, or
-// "". It depends on the seed, so that callers spread.
+// Redirect returns the public address of a random live router in one of the places, or "".
+// Callers so spread over the routers.
 func (n *Node) Redirect(allowed map[string]bool) string {
 	var urls []string
 	for _, id := range n.members.Live(false) {
--- a/internal/core/wire/crashes.go
+++ b/internal/core/wire/crashes.go
@@ -2,33 +2,33 @@
 
 import "github.com/silverswitch/silverswitch/internal/version"
 
-// CrashUpdate is what routers tell each other of requests that crash upstreams: news, and
-// now and then what they hold in all.
+// CrashUpdate carries records of requests that crash upstreams, from one router to another: new
+// records, and now and then a checksum of all requests that the sender holds.
 type CrashUpdate struct {
 	_           struct{} `cbor:",toarray"`
 	Records     []CrashRecord
-	HasChecksum bool   // Sum is stated
-	Checksum    uint64 // over the requests that the sender holds: it is the same at routers that hold the same
+	HasChecksum bool   // Checksum is set
+	Checksum    uint64 // of the requests that the sender holds: equal at routers that hold the same ones
 }
 
-// CrashRecord is what the sender knows of a request that was running at upstreams that
-// crashed. Records of one request may be joined in any order, and more than once.
+// CrashRecord is what the sender knows of a request that was running at upstreams that crashed.
+// Merging records of one request is commutative and idempotent.
 type CrashRecord struct {
 	_       struct{} `cbor:",toarray"`
-	Content uint64   // the request's fingerprint
+	Content uint64   // fingerprint of the request's content
 	Org     version.ID
-	Answers uint32  // whole ones, after which crashes are counted anew
-	Crashes []Crash // since the last of those
-	Level   uint8   // at which they hold the request: package quarantine
-	Held    bool    // it is, or was before an answer, held
-	AgeMS   uint32  // of the last crash
+	Answers uint32  // complete answers; each one restarts the count of crashes
+	Crashes []Crash // since the last complete answer
+	Level   uint8   // at which the crashes hold the request; see package quarantine
+	Held    bool    // the request is held, or was held before an answer
+	AgeMS   uint32  // time since the last crash
 }
 
-// Crash is an upstream that crashed while it ran a request.
+// Crash is one crash of an upstream while it ran a request.
 type Crash struct {
 	_            struct{} `cbor:",toarray"`
 	Upstream     version.ID
 	Early        bool   // the answer had no event yet
-	AttemptAgeMS uint32 // since the attempt began
-	AgeMS        uint32 // since the crash
+	AttemptAgeMS uint32 // time since the start of the attempt
+	AgeMS        uint32 // time since the crash
 }
--- a/internal/core/wire/snapshot.go
+++ b/internal/core/wire/snapshot.go
@@ -6,8 +6,9 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Snapshot is what the scheduler of some services knows that routers' regular messages do not
-// rebuild. A router that comes to be an heir reads it from another one.
+// Snapshot is the state of a router's schedulers that other routers' heartbeats do not rebuild.
+// A router that becomes a scheduler or standby of a service reads it from another member of the
+// scheduler group.
 type Snapshot struct {
 	_        struct{} `cbor:",toarray"`
 	Services []ServiceSnapshot
@@ -22,8 +23,8 @@
 	Engines []EngineSnapshot
 }
 
-// OrgWindow is what one organisation asked for and got in the window in which shares are
-// counted, in tokens, by the age of a step: the present one first.
+// OrgWindow is the tokens that one organisation requested and received in the window in which
+// shares are counted, by age of the time step, the current step first.
 type OrgWindow struct {
 	_         struct{} `cbor:",toarray"`
 	Org       version.ID
@@ -31,8 +32,8 @@
 	Received  []float32
 }
 
-// EngineSnapshot is what one engine is believed to keep, the latest used first, and for how
-// long it is passed over after failures.
+// EngineSnapshot is the prompt parts that one engine is believed to have cached, the most
+// recently used first, and the rest of its ejection after failures.
 type EngineSnapshot struct {
 	_           struct{} `cbor:",toarray"`
 	Upstream    version.ID
@@ -40,7 +41,8 @@
 	CachedParts []CachedPart
 }
 
-// CachedPart is a prompt part that an engine keeps. One that is not Ready is still read.
+// CachedPart is a prompt part in an engine's prefix cache. One that is not Ready is still being
+// read by the engine.
 type CachedPart struct {
 	_      struct{} `cbor:",toarray"`
 	Part   uint64
@@ -48,20 +50,20 @@
 	Ready  bool
 }
 
-// EncodeSnapshot returns the bytes of a state.
+// EncodeSnapshot returns the encoded form of a snapshot.
 func EncodeSnapshot(s *Snapshot) ([]byte, error) {
 	raw, err := cbor.Marshal(s)
 	if err != nil {
-		return nil, ErrDecode.Wrap(err, "encode a scheduler's snapshot")
+		return nil, ErrDecode.Wrap(err, "encode scheduler snapshot")
 	}
 	return raw, nil
 }
 
-// DecodeSnapshot reads the bytes of a state.
+// DecodeSnapshot reads an encoded snapshot.
 func DecodeSnapshot(raw []byte) (*Snapshot, error) {
 	s := &Snapshot{}
 	if err := decoder.Unmarshal(raw, s); err != nil {
-		return nil, ErrDecode.Wrap(err, "decode a scheduler's snapshot")
+		return nil, ErrDecode.Wrap(err, "decode scheduler snapshot")
 	}
 	return s, nil
 }
--- a/internal/core/wire/work.go
+++ b/internal/core/wire/work.go
@@ -2,33 +2,33 @@
 
 import "github.com/silverswitch/silverswitch/internal/version"
 
-// Work is what routers tell each other about requests that are placed one by
-// one. Names travel as 32-bit IDs, prompt parts as 64-bit hashes; no content.
+// Dispatch is the part of a datagram about requests that are placed one by one. Names travel as
+// 32-bit IDs and prompt parts as 64-bit hashes; no content is sent.
 type Dispatch struct {
-	Heartbeat         uint32             `cbor:"1,keyasint,omitempty"` // number of this regular message
-	Revision          uint64             `cbor:"2,keyasint,omitempty"` // of the last change the sender knows of the store's content
+	Heartbeat         uint32             `cbor:"1,keyasint,omitempty"` // number of this heartbeat
+	Revision          uint64             `cbor:"2,keyasint,omitempty"` // of the last change of the store's content that the sender knows
 	PlacementRequests []PlacementRequest `cbor:"3,keyasint,omitempty"`
 	PlacementReplies  []PlacementReply   `cbor:"4,keyasint,omitempty"`
 	ProgressNotes     []ProgressNote     `cbor:"5,keyasint,omitempty"`
-	Loads             []UpstreamLoad     `cbor:"6,keyasint,omitempty"`  // absolute, of the sender's own requests
-	CachedParts       []CachedPartUpdate `cbor:"8,keyasint,omitempty"`  // prompt parts that upstreams have read
-	Reading           *StoreReading      `cbor:"9,keyasint,omitempty"`  // the latest one that the sender knows of
+	Loads             []UpstreamLoad     `cbor:"6,keyasint,omitempty"`  // of the sender's own requests, absolute
+	CachedParts       []CachedPartUpdate `cbor:"8,keyasint,omitempty"`  // prompt parts that upstreams have cached
+	Reading           *StoreReading      `cbor:"9,keyasint,omitempty"`  // the latest reading known to the sender
 	Delta             *StoreDelta        `cbor:"10,keyasint,omitempty"` // a change of the store's content
-	LocalUsage        []LocalUsage       `cbor:"11,keyasint,omitempty"` // since the last time
+	LocalUsage        []LocalUsage       `cbor:"11,keyasint,omitempty"` // local decisions of the sender since its last message
 	Demand            []ServiceDemand    `cbor:"13,keyasint,omitempty"` // of the sender's callers
 	FleetDemand       []ServiceDemand    `cbor:"18,keyasint,omitempty"` // of all routers' callers, as far as the sender knows
 	StoreUnreachable  bool               `cbor:"12,keyasint,omitempty"` // the store does not answer the sender
-	PrefillModels     []PrefillModel     `cbor:"14,keyasint,omitempty"` // told to those who may schedule
+	PrefillModels     []PrefillModel     `cbor:"14,keyasint,omitempty"` // sent to routers that may become schedulers
 	ShareUpdates      []ShareUpdate      `cbor:"15,keyasint,omitempty"` // of the sender, as scheduler
-	RecordedUsage     []LocalUsage       `cbor:"17,keyasint,omitempty"` // by the sender, as scheduler, since the last time; told to those who may take over
-	ColdSuspicions    []ColdSuspicion    `cbor:"19,keyasint,omitempty"` // of the sender, with regular messages
-	Backoffs          []Backoff          `cbor:"20,keyasint,omitempty"` // upstreams that want nothing of the sender: none of Asks is to go there
-	Table             uint64             `cbor:"21,keyasint,omitempty"` // number of the routing table that the sender has
-	Overloaded        bool               `cbor:"16,keyasint,omitempty"` // the sender is short of processor: times it tells are its own
+	RecordedUsage     []LocalUsage       `cbor:"17,keyasint,omitempty"` // by the sender, as scheduler, since its last message; sent to the standby schedulers
+	ColdSuspicions    []ColdSuspicion    `cbor:"19,keyasint,omitempty"` // of the sender, sent with heartbeats
+	Backoffs          []Backoff          `cbor:"20,keyasint,omitempty"` // upstreams that refuse requests of the sender: none of PlacementRequests may go there
+	Table             uint64             `cbor:"21,keyasint,omitempty"` // number of the sender's routing table
+	Overloaded        bool               `cbor:"16,keyasint,omitempty"` // the sender is short of CPU: times that it reports include its own delay
 }
 
-// PrefillModel is what the sender has learned, or inherited, of the times to a first
-// event of a service's engines: see package prefill.
+// PrefillModel is what the sender has learned, or inherited, of the time to the first event at
+// a service's engines; see package prefill.
 type PrefillModel struct {
 	_          struct{} `cbor:",toarray"`
 	Service    version.ID
@@ -39,31 +39,32 @@
 	Samples    uint32
 }
 
-// ServiceDemand is the sender's requests for a service in the window in which the
-// retry budget is counted.
+// ServiceDemand is the number of the sender's requests for a service in the window of the retry
+// budget.
 type ServiceDemand struct {
 	_        struct{} `cbor:",toarray"`
 	Service  version.ID
 	Requests uint32
 }
 
-// StoreReading is one reading of the platform's store by some router. It is passed on
-// until a later one is known, so that every router knows how old the fleet's
-// knowledge of the store is. By, Inc and No name the reading: its age is counted
-// from when it was first heard, so passing it on cannot make it look younger.
+// StoreReading is one reading of the platform's store by some router. It is passed on until a
+// later one is known, so that every router knows how old the fleet's knowledge of the store is.
+// Reader, Inc and No identify the reading: its age counts from when it was first received, so
+// passing it on cannot make it look more recent.
 type StoreReading struct {
 	_           struct{} `cbor:",toarray"`
 	Reader      NodeID
 	Inc         Incarnation
-	No          uint32 // counts the reader's readings
+	No          uint32 // sequence number of the reader's readings
 	AgeMS       uint32
-	RecoveredMS uint32 // since the reader found the store back after an outage, plus one; 0 is not lately
+	RecoveredMS uint32 // time since the store recovered from an outage, as seen by the reader, plus one; 0 when there was no recent outage
 }
 
-// Unasked is work of one organisation on which the sender decided without the
-// scheduler: refused for want of processor, or placed because no answer came. Both
-// are in tokens as shares are counted; Placed is less than 0 when more came to nothing
-// than was placed since the last time.
+// LocalUsage is usage of one organisation that is known to the sender alone. As a local
+// decision it is work that the sender refused for want of CPU, or placed because the scheduler
+// did not answer; as recorded usage it is what the sender decided as scheduler. Both numbers
+// are in tokens as shares are counted. Placed is negative when more work was undone than was
+// placed since the last message.
 type LocalUsage struct {
 	_         struct{} `cbor:",toarray"`
 	Service   version.ID
@@ -72,29 +73,29 @@
 	Placed    int64
 }
 
-// ShareUpdate is how an organisation stands at a service that the sender schedules, in
+// ShareUpdate is the standing of an organisation at a service that the sender schedules, in
 // tokens of the window in which shares are counted.
 type ShareUpdate struct {
 	_            struct{} `cbor:",toarray"`
 	Service      version.ID
 	Org          version.ID
-	SharePercent uint32 // hundredths of its share that it has had
+	SharePercent uint32 // used part of its share, in percent
 	Share        uint32
-	Requested    uint32 // by all routers
+	Requested    uint32 // through all routers
 }
 
-// StoreDelta is every change of the store's content from one revision to another.
+// StoreDelta is every change of the store's content between two revisions.
 type StoreDelta struct {
 	_       struct{} `cbor:",toarray"`
 	From    uint64
 	To      uint64
-	Table   bool // the routing table changed too: it is to be fetched
+	Table   bool // the routing table changed too and must be fetched
 	Put     []InstanceEntry
 	Removed []string
 	Places  []PlaceEntry
 }
 
-// PlaceEntry says whether a place is evacuated, by an entry written at a revision.
+// PlaceEntry says whether a place is evacuated, as of an entry written at a revision.
 type PlaceEntry struct {
 	_         struct{} `cbor:",toarray"`
 	Place     string
@@ -102,7 +103,7 @@
 	Revision  uint64
 }
 
-// InstanceEntry is one instance's entry.
+// InstanceEntry is the store's entry of one instance.
 type InstanceEntry struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
@@ -113,36 +114,36 @@
 	Draining bool
 	Born     int64
 	Revision uint64
-	ColdMS   uint32 // how much longer it is cold, as of the sending
+	ColdMS   uint32 // remaining cold time when the message was sent
 }
 
 // PlacementRequest asks the receiver, as the scheduler of a service, to place a request.
 type PlacementRequest struct {
 	_          struct{} `cbor:",toarray"`
 	No         uint64   // the sender's number of the request
-	Try        uint32   // counts the sender's asks for this request
+	Try        uint32   // counts the sender's placement requests for this request
 	Service    version.ID
 	Org        version.ID
 	Place      version.ID // of the sender
 	Input      uint32     // tokens of the prompt
-	Output     uint32     // tokens expected
-	TargetMS   uint32     // until the answer is late, 0 when it is
+	Output     uint32     // expected tokens of the answer
+	TargetMS   uint32     // until the answer misses its target latency, 0 when it has
 	DeadlineMS uint32     // until the caller's deadline
 	Priority   uint8
 	Parts      []PromptPart
 	Avoid      []version.ID // upstreams that failed this request
-	Regions    []version.ID // that may run it; none are all
-	Backoffs   []Backoff    `cbor:"-"` // of the message that the ask came with
+	Regions    []version.ID // in which it may run; empty means all
+	Backoffs   []Backoff    `cbor:"-"` // of the message that carried the request
 }
 
-// Backoff says for how long an upstream wants nothing of the sender (Retry-After).
+// Backoff says for how long an upstream accepts no requests of the sender (Retry-After).
 type Backoff struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
 	ForMS    uint32
 }
 
-// PromptPart is one part of a prompt: the hash of its name, and its tokens.
+// PromptPart is one part of a prompt: the hash of its name, and its number of tokens.
 type PromptPart struct {
 	_      struct{} `cbor:",toarray"`
 	Part   uint64
@@ -155,36 +156,36 @@
 	No            uint64
 	Try           uint32
 	Upstream      version.ID
-	CacheSource   version.ID // an upstream to fetch kept prompt parts from, or 0
-	PrefillTokens uint32     // tokens the upstream is expected to read
-	WaitMS        uint32     // expected behind others
-	RetryAfterMS  uint32     // of a refusal: when to come back
-	WaitLimitMS   uint32     // of a refusal: the wait that was allowed
-	SharePercent  uint32     // hundredths of its share that the organisation has had
+	CacheSource   version.ID // upstream to fetch cached prompt parts from, or 0
+	PrefillTokens uint32     // prompt tokens that the upstream is expected to read
+	WaitMS        uint32     // expected wait behind other requests
+	RetryAfterMS  uint32     // of a refusal: when to retry
+	WaitLimitMS   uint32     // of a refusal: the longest wait that was allowed
+	SharePercent  uint32     // used part of the organisation's share, in percent
 	ReasonCode    uint8
 	PrefillMS     uint32 // expected from the end of the wait to the first event
-	Cold          bool   // the upstream is cold, and the place is within what it takes
-	CheckHealth   bool   // the upstream's health is to be asked first: it has answered nothing lately
+	Cold          bool   // the upstream is cold, and the request fits the few that a cold one takes
+	CheckHealth   bool   // check the upstream's health before sending: it has not answered anything recently
 }
 
-// ProgressNote tells the scheduler how a placed request goes on.
+// ProgressNote notifies the scheduler of the progress of a placed request.
 type ProgressNote struct {
 	_       struct{} `cbor:",toarray"`
 	No      uint64
-	Event   uint8  // one of the Note constants
+	Event   uint8  // one of the Progress constants
 	FirstMS uint32 // from sending to the first event
 }
 
 // Events of a ProgressNote.
 const (
-	ProgressFirstEvent uint8 = iota + 1 // the first event came
-	ProgressDone                        // ended, answered
-	ProgressFailed                      // ended by the upstream's fault
+	ProgressFirstEvent uint8 = iota + 1 // the first event arrived
+	ProgressDone                        // ended with an answer
+	ProgressFailed                      // ended by a failure of the upstream
 	ProgressUnused                      // the upstream did not run it, or it was never sent
-	ProgressRefused                     // ended, since the upstream refused the connection
+	ProgressRefused                     // ended because the upstream refused the connection
 )
 
-// IsFailure reports whether an event is an upstream's fault.
+// IsFailure reports whether an event is a failure of the upstream.
 func IsFailure(event uint8) bool { return event == ProgressFailed || event == ProgressRefused }
 
 // UpstreamLoad is the sender's own use of one upstream.
@@ -192,19 +193,20 @@
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
 	Running  uint32
-	Tokens   uint32 // of memory
-	Unread   uint32 // tokens of prompts without a first event
+	Tokens   uint32 // of engine memory
+	Unread   uint32 // prompt tokens of requests without a first event
 }
 
-// Doubt says that the sender has reason to take an upstream for cold, beside what the
-// upstream's entry says.
+// ColdSuspicion says that the sender suspects an upstream to be cold for reasons beyond the
+// upstream's entry.
 type ColdSuspicion struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
 	ForMS    uint32
 }
 
-// CachedPartUpdate says that an upstream has read a prompt part.
+// CachedPartUpdate says that an upstream has read a prompt part and so has it in its prefix
+// cache.
 type CachedPartUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream version.ID
