--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -1,11 +1,11 @@
-// Package claim keeps a request that may not be repeated from running twice,
-// whichever router the caller's retry enters by. Before such a request runs, its
-// attempt needs the consent of a quorum of the key's witnesses: a few routers
-// chosen by rendezvous hashing over every router the fleet names, alive or not.
-// Two quorums share a witness, and a witness consents to one attempt a key.
+// Package claim prevents a request that may not be repeated from running twice, whichever
+// router the caller's retry reaches. Before such a request runs, its attempt needs the consent
+// of a quorum of the key's witnesses: a few routers chosen by rendezvous hashing over every
+// router that the fleet names, alive or not. Two quorums share a witness, and a witness
+// consents to only one attempt for a key.
 //
-// Nothing is replicated, agreed in order or kept: a witness remembers a key for
-// minutes, in memory, and vouches for no key minted before it started.
+// Nothing is replicated, agreed in order or stored: a witness remembers a key for minutes, in
+// memory, and vouches for no key that was minted before the witness started.
 package claim
 
 import (
@@ -21,32 +21,32 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// Bounds of a key's life.
+// Limits on keys and on voting.
 const (
-	// Window is how long after minting a key may be used.
+	// KeyWindow is how long after minting a key may be used.
 	KeyWindow = 10 * time.Minute
-	// Skew is how far callers' and routers' clocks may differ.
+	// MaxClockSkew is how far the clocks of callers and routers may differ.
 	MaxClockSkew = 5 * time.Second
-	// MaxGroupSize is the largest number of witnesses of a key.
+	// MaxGroupSize is the maximum number of witnesses of a key.
 	MaxGroupSize = 7
-	// MaxKeys bounds a witness's memory; beyond it, it refuses.
+	// MaxKeys bounds a witness's memory; beyond it the witness does not consent.
 	MaxKeys = 200000
-	// VoteTimeout is how long votes are awaited, VoteRetryInterval between resends.
+	// VoteTimeout is how long votes are awaited, VoteRetryInterval the time between resends.
 	VoteTimeout       = 600 * time.Millisecond
 	VoteRetryInterval = 100 * time.Millisecond
 )
 
-// ErrKey is an idempotency key that cannot be dated.
+// ErrKey is the error type of an idempotency key that has no usable time.
 var ErrKey = errorx.NewNamespace("claim").NewType("key")
 
-// Key is a hashed idempotency key with the moment it was minted.
+// Key is a hashed idempotency key with the time at which it was minted.
 type Key struct {
 	Sum    [16]byte
 	Minted time.Time
 }
 
-// ParseKey reads an Idempotency-Key. It must be a UUID version 7, because its
-// time tells a witness whether it may have forgotten the key.
+// ParseKey parses an Idempotency-Key header. The key must be a UUID version 7, because its time
+// tells a witness whether it may have forgotten the key.
 func ParseKey(org, app, text string) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
@@ -57,7 +57,7 @@
 	return Key{Sum: [16]byte(sum[:16]), Minted: time.Unix(sec, nsec)}, nil
 }
 
-// Group returns a key's witnesses, the highest of the rendezvous order first.
+// Group returns a key's witnesses, in rendezvous order.
 func Group(key [16]byte, roster []wire.NodeID) []wire.NodeID {
 	type ranked struct {
 		id wire.NodeID
@@ -78,8 +78,8 @@
 	return out
 }
 
-// Quorum is how many of g witnesses must consent. Two groups that differ in at
-// most 2*Quorum(g)-g-1 members still have quorums that share a witness.
+// Quorum is how many of g witnesses must consent. Two groups that differ in at most
+// 2*Quorum(g)-g-1 members still have quorums that share a witness.
 func Quorum(g int) int {
 	if g < 5 {
 		return g/2 + 1
@@ -87,9 +87,9 @@
 	return g/2 + 2
 }
 
-// minToRuleOut is how many witnesses without another holder prove that no other
-// attempt can have had a quorum, also when the two groups differ in one member
-// (g of 5 or more) or in none (g below 5).
+// minToRuleOut is the number of witnesses without another holder that proves that no other
+// attempt can have had a quorum, even when the two groups differ in one member (g of 5 or more)
+// or in none (g below 5).
 func minToRuleOut(g int) int {
 	if g < 5 {
 		return g - Quorum(g) + 1
@@ -114,7 +114,8 @@
 	return &Witness{started: now, keys: map[[16]byte]*holding{}}
 }
 
-// Hear answers a claim. A release is not answered.
+// Handle handles a claim, and returns the vote. A claim with Release or Done set is not
+// answered.
 func (w *Witness) Handle(c *wire.Claim, now time.Time) (wire.Vote, bool) {
 	h := w.keys[c.Key]
 	mine := h != nil && h.attempt == c.Attempt
@@ -142,7 +143,7 @@
 	return v, true
 }
 
-// judge decides on a key that nobody else holds here.
+// judge returns the verdict on a key that no other attempt holds here.
 func (w *Witness) judge(c *wire.Claim, now time.Time) wire.Verdict {
 	minted := time.UnixMilli(c.Minted)
 	if now.Sub(minted) > KeyWindow || minted.Sub(now) > MaxClockSkew {
@@ -154,7 +155,7 @@
 	return wire.VerdictGranted
 }
 
-// Tick forgets keys that no witness would accept any more.
+// Tick removes keys that no witness would accept any more.
 func (w *Witness) Tick(now time.Time) {
 	for k, h := range w.keys {
 		if now.After(h.until) {
@@ -166,18 +167,18 @@
 // Len returns the number of keys remembered.
 func (w *Witness) Len() int { return len(w.keys) }
 
-// Result is the end of an Ask.
+// Result is the outcome of a Proposal.
 type Result uint8
 
-// The results of asking the witnesses.
+// The results of a proposal.
 const (
 	Pending       Result = iota
-	Held                 // a quorum consented: the attempt alone may run
+	Held                 // a quorum consented: only this attempt may run
 	NotHeld              // no quorum, and no other attempt can have run
 	Indeterminate        // no quorum, and another attempt may have run or be running
 )
 
-// Ask collects the votes for one attempt. The control goroutine owns it.
+// Proposal collects the votes for one attempt. The control goroutine owns it.
 type Proposal struct {
 	Key      Key
 	Attempt  wire.Attempt
@@ -187,15 +188,15 @@
 	lastSent time.Time
 }
 
-// NewProposal starts collecting votes.
+// NewProposal returns a proposal without votes, to the witnesses of its key.
 func NewProposal(key Key, attempt wire.Attempt, roster []wire.NodeID, now time.Time) *Proposal {
 	return &Proposal{Key: key, Attempt: attempt, group: Group(key.Sum, roster), votes: map[wire.NodeID]wire.Vote{}, started: now}
 }
 
-// Group returns the witnesses asked.
+// Group returns the witnesses.
 func (a *Proposal) Group() []wire.NodeID { return a.group }
 
-// Vote takes a witness's answer.
+// Vote records a witness's vote. Votes on other attempts and of other routers are ignored.
 func (a *Proposal) Vote(from wire.NodeID, v wire.Vote) {
 	if v.Attempt != a.Attempt || !bytes.Equal(v.Key[:], a.Key.Sum[:]) {
 		return
@@ -207,7 +208,7 @@
 	}
 }
 
-// Due returns the witnesses to ask now, again or for the first time.
+// Due returns the witnesses to which the claim is to be sent now, for the first time or again.
 func (a *Proposal) Due(now time.Time) []wire.NodeID {
 	if !a.lastSent.IsZero() && now.Sub(a.lastSent) < VoteRetryInterval {
 		return nil
@@ -222,12 +223,12 @@
 	return out
 }
 
-// Claim is the message for the witnesses.
+// Claim returns the message to the witnesses.
 func (a *Proposal) Claim() wire.Claim {
 	return wire.Claim{Key: a.Key.Sum, Minted: a.Key.Minted.UnixMilli(), Attempt: a.Attempt}
 }
 
-// Result decides what the votes so far prove.
+// Result returns what the votes so far prove.
 func (a *Proposal) Result(now time.Time) Result {
 	granted := 0
 	for _, v := range a.votes {
@@ -249,7 +250,8 @@
 	return Indeterminate
 }
 
-// Why returns the verdict that kept the attempt from its quorum, for the answer.
+// Refusal returns the verdict that kept the attempt from its quorum, for the answer to the
+// caller.
 func (a *Proposal) Refusal() (verdict wire.Verdict, done bool) {
 	for _, v := range a.votes {
 		if v.Verdict == wire.VerdictTaken {
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -89,8 +89,9 @@
 	assert.Equal(t, wire.VerdictGranted, v.Verdict)
 }
 
-// Two quorums share a witness as long as the groups differ in as many members
-// as the comment on Quorum says; a quorum and a ruling out, in one or none.
+// Two quorums share a witness as long as the groups differ in as many members as the comment on
+// Quorum says. A quorum and a number of witnesses that rules one out share a witness when the
+// groups differ in one member, or in none for small groups.
 func TestQuorumsIntersect(t *testing.T) {
 	for g := 1; g <= MaxGroupSize; g++ {
 		differ := 2*Quorum(g) - g - 1
@@ -135,7 +136,7 @@
 	a.Vote("stranger", wire.Vote{Key: [16]byte{1}, Attempt: attempt(1)})
 	a.Vote("b", wire.Vote{Key: [16]byte{1}, Attempt: attempt(2)})
 	assert.Equal(t, Pending, a.Result(t0))
-	assert.Equal(t, Indeterminate, a.Result(t0.Add(VoteTimeout)), "one of three rules nothing out")
+	assert.Equal(t, Indeterminate, a.Result(t0.Add(VoteTimeout)), "one of three votes rules nothing out")
 	a.Vote("b", wire.Vote{Key: [16]byte{1}, Attempt: attempt(1)})
 	assert.Equal(t, Held, a.Result(t0))
 }
--- a/internal/core/crashes.go
+++ b/internal/core/crashes.go
@@ -66,7 +66,7 @@
 	if n.drains[up] != nil {
 		return
 	}
-	if running, isNews := n.crashes.Ended(up, crashID(up, now), now); isNews {
+	if running, isNew := n.crashes.Ended(up, crashID(up, now), now); isNew {
 		n.event("upstream-ended", uint64(running), fmt.Sprintf("upstream %d refuses connections; value: attempts that it left without an answer", up))
 	}
 }
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry holds the requests that came in at this router: where they wait,
-// what they may run on, and what this router tells the schedulers of its pools.
+// Package entry holds the requests that arrived at this router: where they wait, what they may
+// run on, and what this router reports to the schedulers of its pools.
 package entry
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Request is what the core needs to know of a caller's request. No content.
+// Request is what the core needs to know of a caller's request. It holds no content.
 type Request struct {
 	ID       uint64
 	Org      version.ID
@@ -22,10 +22,10 @@
 	Deadline time.Time
 }
 
-// Reason says why a request was refused. Reasons are part of the callers' API.
+// Reason says why a request was refused. Reasons are part of the API for callers.
 type Reason string
 
-// The reasons of a refusal.
+// The reasons for a refusal.
 const (
 	ReasonQueueFull    Reason = "queue-full"
 	ReasonDeadline     Reason = "deadline"
@@ -39,28 +39,28 @@
 	ReasonCrashes      Reason = "crashes-upstreams"
 )
 
-// Start is leave to run a request at an upstream.
+// Start permits a request to run at an upstream.
 type Start struct {
 	ID       uint64
 	Upstream version.ID
 }
 
-// Refusal is a request given up before anything of it was sent.
+// Refusal is a request refused before anything of it was sent.
 type Refusal struct {
 	ID         uint64
 	Reason     Reason
-	RetryAfter time.Duration // when the caller should come back
+	RetryAfter time.Duration // when the caller should retry
 }
 
-// Timing of this router's side.
+// Timing of reports and of waiting requests.
 const (
-	progressInterval        = 2 * time.Second  // in a full pool; elsewhere service is told with other news
+	progressInterval        = 2 * time.Second  // in a saturated pool; elsewhere service is reported with other changes
 	keepAliveInterval       = 2 * time.Second  // while requests wait; well within a grant's lease
 	creditKeepAliveInterval = 4 * time.Second  // while standing credits are in use
-	creditIdleTimeout       = 10 * time.Second // unused credits are given back
-	idleReportDelay         = 3 * time.Second  // of news from a pool in which nothing waits
+	creditIdleTimeout       = 10 * time.Second // after which unused credits are returned
+	idleReportDelay         = 3 * time.Second  // of changes in a pool in which nothing waits
 	fullReportInterval      = 45 * time.Second
-	arrivalReportDelay      = 100 * time.Millisecond // of a request that comes to a full pool
+	arrivalReportDelay      = 100 * time.Millisecond // of a request that arrives at a saturated pool
 	ackReportDelay          = time.Second            // of a report that only acknowledges grants
 	resendInterval          = 1300 * time.Millisecond
 	idleResendInterval      = 7 * time.Second
@@ -68,8 +68,8 @@
 	idleSchedulerTimeout    = 9 * time.Second
 	minRetryAfter           = time.Second
 	maxRetryAfter           = 2 * time.Minute
-	paceHalfLife            = 30 * time.Second // of what the estimate of the pace rests on
-	minPaceStarts           = 3                // decayed starts below which there is no estimate
+	paceHalfLife            = 30 * time.Second // of the samples behind the estimated pace
+	minPaceStarts           = 3                // decayed number of starts below which there is no estimate
 )
 
 type flight struct {
@@ -79,26 +79,26 @@
 	running  bool
 	upstream version.ID
 	pool     version.ID
-	served   uint64 // already in norm, in hundredths of a unit
+	served   uint64 // already counted in normService, in hundredths of a unit
 }
 
-// Entry is this router's requests. The control goroutine owns it.
+// Entry holds this router's requests. The control goroutine owns it.
 type Entry struct {
 	ver          *version.Version
 	place        string
-	startedAt    time.Time // of the process: zero of the clock that reports carry
+	startedAt    time.Time // of the process; zero of the clock in reports
 	flights      map[uint64]*flight
 	queues       map[queueKey]*queue
 	waitingByOrg map[version.ID]int // waiting requests of each organisation
 	pools        map[version.ID]*poolState
 	normService  map[version.ID]uint64
-	announced    map[version.ID]uint64 // norm at the last Served
+	announced    map[version.ID]uint64 // normService at the last call of Served
 	drained      map[version.ID]bool
 	started      []Start
 	refused      []Refusal
 	Counts       Counts
 
-	nextDeadline time.Time // no waiting flight's deadline is earlier
+	nextDeadline time.Time // no waiting flight has an earlier deadline
 }
 
 // Counts are this router's totals since its start.
@@ -130,8 +130,8 @@
 	return s, r
 }
 
-// SetVersion takes a newer version. Waiting requests that it no longer allows
-// are refused; running ones go on, since their content is already where it is.
+// SetVersion switches to a newer version. Waiting requests that it no longer allows are
+// refused. Running ones continue, since their content is already at the upstream.
 func (e *Entry) SetVersion(v *version.Version) {
 	e.ver = v
 	for _, q := range e.queues {
@@ -153,7 +153,7 @@
 	}
 }
 
-// app returns the application if the organisation may call it here and now.
+// app returns the application if the organisation may call it at this router now, or nil.
 func (e *Entry) app(r Request) *version.Application {
 	o := e.ver.Organisations[r.Org]
 	if o == nil || !o.Allows(e.place) {
@@ -170,7 +170,7 @@
 	return e.ver.PoolsOf(o, k.service)
 }
 
-// Arrive takes a request. It is started, queued or refused; Take tells.
+// Arrive handles a new request. It is started, queued or refused; Take returns the outcome.
 func (e *Entry) Arrive(r Request, now time.Time) {
 	e.Counts.Arrived++
 	f := &flight{Request: r, arrived: now}
@@ -199,7 +199,7 @@
 	e.enqueue(f, q, now)
 }
 
-// reachable reports whether any allowed upstream still takes new work.
+// reachable reports whether any allowed upstream accepts new requests.
 func (e *Entry) reachable(org version.ID, q *queue) bool {
 	o := e.ver.Organisations[org]
 	for _, id := range q.pools {
@@ -212,15 +212,15 @@
 	return false
 }
 
-func (e *Entry) refuse(f *flight, why Reason, after time.Duration) {
+func (e *Entry) refuse(f *flight, reason Reason, after time.Duration) {
 	e.dequeue(f)
 	delete(e.flights, f.ID)
 	e.Counts.Refused++
-	e.refused = append(e.refused, Refusal{ID: f.ID, Reason: why, RetryAfter: after})
+	e.refused = append(e.refused, Refusal{ID: f.ID, Reason: reason, RetryAfter: after})
 }
 
-// Cancel ends a waiting request whose caller went away, and reports whether it
-// did. A running one ends by Finish, when the upstream has confirmed.
+// Cancel ends a waiting request whose caller disconnected, and reports whether it did. A
+// running request ends by Finish, once the upstream has confirmed the end.
 func (e *Entry) Cancel(id uint64) bool {
 	f := e.flights[id]
 	if f == nil || f.running {
@@ -232,16 +232,15 @@
 	return true
 }
 
-// Refuse gives up a request that has not started.
-func (e *Entry) Refuse(id uint64, why Reason, after time.Duration) {
+// Refuse refuses a request that has not started.
+func (e *Entry) Refuse(id uint64, reason Reason, after time.Duration) {
 	if f := e.flights[id]; f != nil && !f.running {
-		e.refuse(f, why, after)
+		e.refuse(f, reason, after)
 	}
 }
 
-// Return gives back the slot of a request whose start came to nothing: no byte
-// was sent, or the upstream proved that it did not run. It waits again, first of
-// its queue.
+// Return releases the slot of a request that did not run: no byte was sent, or the upstream
+// proved that it did not run it. The request goes back to the head of its queue.
 func (e *Entry) Return(id uint64, failed bool, now time.Time) {
 	f := e.flights[id]
 	if f == nil || !f.running {
@@ -268,7 +267,7 @@
 	e.markChanged(f.queue)
 }
 
-// Progress sets the service a running request has received so far, in units.
+// Progress sets the service that a running request has received so far, in units.
 func (e *Entry) Progress(id uint64, units float64) {
 	f := e.flights[id]
 	if f == nil || !f.running {
@@ -291,8 +290,7 @@
 	e.pool(f.pool).markProgress(f.Org)
 }
 
-// Finish ends a running request with its final service and what was seen of
-// its upstream.
+// Finish ends a running request with the service it received and a sample of its upstream.
 func (e *Entry) Finish(id uint64, units float64, s wire.Sample, now time.Time) {
 	f := e.flights[id]
 	if f == nil || !f.running {
@@ -307,7 +305,7 @@
 	e.Counts.Finished++
 }
 
-// Drain marks an upstream as leaving: nothing new is started on it.
+// Drain marks an upstream as leaving or not. Nothing new is started at one that is leaving.
 func (e *Entry) Drain(id version.ID, drain bool) {
 	e.drained[id] = drain
 	if drain {
@@ -317,7 +315,7 @@
 	}
 }
 
-// Waiting and Running return the number of requests in each state.
+// Waiting returns the number of requests without a slot.
 func (e *Entry) Waiting() int { return len(e.flights) - e.Running() }
 
 // Running returns the number of requests that hold a slot.
@@ -331,8 +329,8 @@
 	return n
 }
 
-// Served returns this router's service cells that grew since the last call,
-// sorted by organisation.
+// Served returns this router's service cells that grew since the last call, sorted by
+// organisation.
 func (e *Entry) Served() []wire.LedgerRow {
 	var out []wire.LedgerRow
 	for org, n := range e.normService {
@@ -345,7 +343,7 @@
 	return out
 }
 
-// SaturatedPools returns the pools that a scheduler said are full, in ID order.
+// SaturatedPools returns the pools that their schedulers reported as saturated, in ID order.
 func (e *Entry) SaturatedPools() []version.ID {
 	var out []version.ID
 	for _, id := range e.poolIDs() {
--- a/internal/core/entry/entry_test.go
+++ b/internal/core/entry/entry_test.go
@@ -56,8 +56,8 @@
 	now  time.Time
 }
 
-// newFixture is an entry in place a whose organisation x may use the places
-// given, and which has reported n waiting requests to a scheduler.
+// newFixture returns an entry in place a whose organisation x may use the given places, and
+// which has reported n waiting requests to a scheduler.
 func newFixture(t *testing.T, places string, n int) *fixture {
 	f := &fixture{Entry: New("a", t0), t: t, now: t0, u1: version.IDOf("upstream/u1"), u2: version.IDOf("upstream/u2")}
 	v := testVersion(t, 1, places)
@@ -190,7 +190,7 @@
 	f.Take()
 	f.now = f.now.Add(time.Millisecond)
 	q := f.queues[queueKey{f.x, "s"}]
-	q.starts, q.busy = 10, 40 // ten starts of late: one in 4 s
+	q.starts, q.busy = 10, 40 // ten recent starts: one in 4 s
 	f.Cancel(10)
 	f.arrive(20, time.Second)
 	_, refused := f.Take()
@@ -246,15 +246,15 @@
 	f := newFixture(t, "a,b", 1)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1})
 	f.Progress(1, 40)
-	f.Progress(1, 30) // late and lower: nothing is taken back
+	f.Progress(1, 30) // late and lower: no service is deducted
 	assert.Equal(t, uint64(4000), f.normService[f.x])
 	f.Finish(1, 55, wire.Sample{N: 1}, f.now)
 	assert.Equal(t, uint64(5500), f.normService[f.x])
 	assert.Zero(t, f.Running())
 }
 
-// A request may run for minutes without news; the scheduler forgets a router that
-// is silent for one.
+// A request may run for minutes without any change to report, and the scheduler forgets a
+// router that is silent for too long.
 func TestFullReportsAreRepeatedDuringLongRequests(t *testing.T) {
 	f := newFixture(t, "a,b", 1)
 	f.grants(wire.Grant{No: 1, Org: f.x, Upstream: f.u1, N: 1})
--- a/internal/core/entry/pool.go
+++ b/internal/core/entry/pool.go
@@ -10,35 +10,35 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// poolState is this router's side of one pool: what it holds there, and what the
-// scheduler has and has not been told.
+// poolState is this router's side of one pool: what it holds there, and what the scheduler has
+// and has not been sent.
 type poolState struct {
 	id          version.ID
 	scheduler   wire.NodeID
-	epoch       uint32 // of grant numbers; raised when they begin anew
+	epoch       uint32 // of grant numbers; raised when the numbering restarts
 	acked       uint32
 	seq         uint32
-	answeredSeq uint32 // last report the scheduler answered
+	answeredSeq uint32 // last report that the scheduler answered
 	lastSent    time.Time
 	lastFull    time.Time
-	answeredAt  time.Time // last answer, or the first report without one
+	answeredAt  time.Time // last reply, or the first report without one
 	saturated   bool
 
-	changed       map[version.ID]uint32 // row changed after this report
-	changedHeld   map[heldKey]uint32    // held count changed after this report
+	changed       map[version.ID]uint32 // by organisation: its row changed after this report
+	changedHeld   map[heldKey]uint32    // its held count changed after this report
 	progress      map[version.ID]bool
 	lastProgress  time.Time
-	held          map[version.ID]map[version.ID]uint32 // organisation, upstream
-	credits       map[version.ID]uint32                // upstream
+	held          map[version.ID]map[version.ID]uint32 // by organisation and upstream
+	credits       map[version.ID]uint32                // by upstream
 	creditsUntil  time.Time
 	samples       map[version.ID]wire.Sample
 	needFull      bool
 	lastStart     time.Time // last request started in the pool
 	previousStart time.Time // the one before it
-	due           time.Time // when news must go out at the latest; zero without news
+	due           time.Time // latest time to report changes; zero without changes
 }
 
-// heldKey is one cell of what the router holds in a pool.
+// heldKey identifies one held count in a pool.
 type heldKey struct{ org, up version.ID }
 
 func (e *Entry) pool(id version.ID) *poolState {
@@ -88,7 +88,7 @@
 	p.markHeld(org, up)
 }
 
-// move marks one held count changed.
+// markHeld marks one held count as changed.
 func (p *poolState) markHeld(org, up version.ID) {
 	p.changedHeld[heldKey{org, up}] = p.seq
 	p.markRow(org)
@@ -105,7 +105,7 @@
 	p.samples[s.Upstream] = s
 }
 
-// scheduleReport bounds how long the scheduler waits for news.
+// scheduleReport makes sure that a report is sent by a time.
 func (p *poolState) scheduleReport(at time.Time) {
 	if p.due.IsZero() || at.Before(p.due) {
 		p.due = at
@@ -125,9 +125,8 @@
 	}
 }
 
-// startOnCredit starts a request at once when the router holds a standing credit
-// for an upstream in the organisation's places, and nothing of the organisation
-// waits before it.
+// startOnCredit starts a request at once if the router holds a standing credit for an upstream
+// in the organisation's places, and no request of the organisation waits before it.
 func (e *Entry) startOnCredit(f *flight, q *queue, now time.Time) bool {
 	if q.position(f.Urgent) > 0 {
 		return false
@@ -159,8 +158,8 @@
 	p.markHeld(0, up)
 }
 
-// mayRun is the place rule at dispatch, under the newest accepted version: the
-// upstream is known, stays, and stands in an allowed place, as this router does.
+// mayRun enforces the place rule at dispatch under the newest accepted version: the upstream is
+// known, is not leaving, and is in an allowed place, as this router is.
 func (e *Entry) mayRun(f *flight, pool, up version.ID) bool {
 	u := e.ver.Upstreams[up]
 	app := e.app(f.Request)
@@ -180,8 +179,8 @@
 	e.started = append(e.started, Start{ID: f.ID, Upstream: up})
 }
 
-// Grants takes a scheduler's answer. Grants of another scheduler than the one
-// followed, repeated, out of order or late are not used.
+// Grants handles a scheduler's reply. Grants from a router other than the current scheduler,
+// and repeated, out-of-order or late grants, are not used.
 func (e *Entry) Grants(from wire.NodeID, g *wire.Grants, now time.Time) {
 	p := e.pools[g.Pool]
 	if p == nil || from != p.scheduler || g.ReportSeq > p.seq || g.Epoch != p.epoch {
@@ -195,7 +194,7 @@
 	p.answeredSeq = max(p.answeredSeq, g.ReportSeq)
 	p.dropAnswered()
 	if g.Saturated && !p.saturated {
-		p.scheduleReport(now) // whatever was not urgent before is now
+		p.scheduleReport(now) // changes that could wait before are urgent now
 	}
 	p.saturated = g.Saturated
 	asked := e.startedAt.Add(time.Duration(g.ReportSentMS) * time.Millisecond)
@@ -214,8 +213,8 @@
 	}
 }
 
-// restart begins the numbering of grants anew: what the scheduler granted before
-// and was not taken is void.
+// restartNumbering restarts the numbering of grants. Earlier grants that were not accepted are
+// void.
 func (p *poolState) restartNumbering() {
 	p.epoch++
 	p.acked = 0
@@ -223,7 +222,7 @@
 	p.needFull = true
 }
 
-// dropAnswered clears the rows that a report the scheduler saw has carried.
+// dropAnswered forgets the changes that were part of a report the scheduler has received.
 func (p *poolState) dropAnswered() {
 	for org, at := range p.changed {
 		if at < p.answeredSeq {
@@ -237,7 +236,7 @@
 	}
 }
 
-// leaseOf is how long after the report it answers a grant may be used.
+// leaseOf is how long a grant may be used, counted from the report that it answers.
 func leaseOf(g wire.Grant) time.Duration {
 	if g.Org == 0 {
 		return sched.CreditLease
@@ -271,7 +270,8 @@
 	}
 }
 
-// pick returns the organisation's first request that may run at the upstream.
+// nextFor returns the organisation's first waiting request if it may run at the upstream, or
+// nil.
 func (e *Entry) nextFor(p *poolState, g wire.Grant) *flight {
 	u := e.ver.Upstreams[g.Upstream]
 	if u == nil {
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// Tick refuses what its deadline has passed, and lets unused credits lapse.
+// Tick refuses requests whose deadline has passed, and returns unused credits.
 func (e *Entry) Tick(now time.Time) {
 	if !now.Before(e.nextDeadline) {
 		e.expire(now)
@@ -300,11 +300,11 @@
 	}
 }
 
-// Woke gives up every grant and credit after a pause: others may have taken the
-// slots back. Waiting requests are told to the schedulers again.
+// Woke gives up every credit after a pause of the process, since others may have taken the
+// slots. Waiting requests are reported to the schedulers again.
 func (e *Entry) Woke() {
 	for _, p := range e.pools {
-		p.dropAllCredits() // a slot granted before the pause may be another's by now
+		p.dropAllCredits() // slots granted before the pause may belong to other routers by now
 		p.requireFull()
 	}
 }
--- a/internal/core/entry/queue.go
+++ b/internal/core/entry/queue.go
@@ -20,8 +20,8 @@
 	pools     []version.ID
 	urgent    []*flight
 	normal    []*flight
-	starts    float64 // while others waited, decayed; see pace
-	busy      float64 // seconds in which requests waited, decayed alike
+	starts    float64 // starts while requests waited, decayed; see pace
+	busy      float64 // seconds in which requests waited, decayed in the same way
 	accruedAt time.Time
 }
 
@@ -60,9 +60,9 @@
 	e.scheduleReports(q, f, now)
 }
 
-// hurry tells the schedulers of a request at once when there may be a slot for
-// it, a little later when the pool is full and the queue was empty, and with the
-// next report when others of the queue wait before it.
+// scheduleReports schedules the reports on a new request: at once when there may be a slot for
+// it, slightly later when the pool is saturated and the queue was empty, and with the next
+// report when other requests of the queue wait before it.
 func (e *Entry) scheduleReports(q *queue, f *flight, now time.Time) {
 	for _, id := range q.pools {
 		p := e.pool(id)
@@ -75,7 +75,7 @@
 	}
 }
 
-// position is how many requests would start before a new one.
+// position is the number of requests that would start before a new one.
 func (q *queue) position(urgent bool) int {
 	if urgent {
 		return len(q.urgent)
@@ -83,7 +83,7 @@
 	return q.len()
 }
 
-// retryAfter is the time in which the queue works off half of what waits.
+// retryAfter is the expected time until half of the queue has started.
 func (e *Entry) retryAfter(q *queue) time.Duration {
 	return clampRetryAfter(q.pace() * time.Duration(q.len()) / 2)
 }
@@ -101,14 +101,15 @@
 	return q
 }
 
-// touch marks a queue's organisation changed in every pool it waits for.
+// markChanged marks the row of the queue's organisation as changed in every pool that the queue
+// waits for.
 func (e *Entry) markChanged(q *queue) {
 	for _, id := range q.pools {
 		e.pool(id).markRow(q.key.org)
 	}
 }
 
-// dequeue takes a flight out of its queue, if it waits in one.
+// dequeue removes a flight from its queue, if it waits in one.
 func (e *Entry) dequeue(f *flight) {
 	q := f.queue
 	if q == nil || f.running {
@@ -130,8 +131,8 @@
 	return list
 }
 
-// mark books the time since the last mark as one in which requests waited, if
-// they did. It is called before the queue changes.
+// accrue adds the time since the last call to the time in which requests waited, if they did.
+// It must be called before the queue changes.
 func (q *queue) accrue(now time.Time) {
 	if q.len() > 0 {
 		dt := now.Sub(q.accruedAt).Seconds()
@@ -142,8 +143,8 @@
 	q.accruedAt = now
 }
 
-// pace is the expected time between two starts while requests wait, or 0 when
-// too few were seen.
+// pace is the expected time between two starts while requests wait, or 0 when too few starts
+// were observed.
 func (q *queue) pace() time.Duration {
 	if q.starts < minPaceStarts {
 		return 0
@@ -151,7 +152,7 @@
 	return time.Duration(q.busy / q.starts * float64(time.Second))
 }
 
-// expire refuses the late, and notes the next deadline of those that wait.
+// expire refuses waiting requests whose deadline has passed, and records the next deadline.
 func (e *Entry) expire(now time.Time) {
 	next := now.Add(maxRetryAfter)
 	for _, id := range slices.Sorted(maps.Keys(e.flights)) {
@@ -168,7 +169,7 @@
 	e.nextDeadline = next
 }
 
-// awaits keeps nextDeadline at or before that of every waiting flight.
+// noteDeadline keeps nextDeadline at or before the deadline of every waiting flight.
 func (e *Entry) noteDeadline(f *flight) {
 	if f.Deadline.Before(e.nextDeadline) {
 		e.nextDeadline = f.Deadline
@@ -182,7 +183,8 @@
 	return e.retryAfter(f.queue)
 }
 
-// unqueue takes a flight that starts out of its queue but keeps the queue known.
+// dequeueStarted removes a flight that starts from its queue, and keeps the reference to the
+// queue in case the flight is returned.
 func (e *Entry) dequeueStarted(f *flight) {
 	q := f.queue
 	e.dequeue(f)
--- a/internal/core/entry/report.go
+++ b/internal/core/entry/report.go
@@ -10,7 +10,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// ageUnit is the unit of Row.Old.
+// ageUnit is the unit of wire.Row.OldestAge.
 const ageUnit = 100 * time.Millisecond
 
 // Outgoing is a report for a pool's scheduler.
@@ -19,8 +19,8 @@
 	Report wire.Report
 }
 
-// Reports returns the reports that are due. scheduler names the router that now
-// schedules a pool; silent schedulers are returned for suspicion.
+// Reports returns the reports that are due. scheduler returns the router that schedules a pool
+// now. Schedulers that do not answer are returned as silent, to be suspected.
 func (e *Entry) Reports(scheduler func(version.ID) wire.NodeID, now time.Time) (out []Outgoing, silent []wire.NodeID) {
 	for _, id := range e.poolIDs() {
 		p := e.pools[id]
@@ -38,8 +38,8 @@
 
 func (e *Entry) poolIDs() []version.ID { return slices.Sorted(maps.Keys(e.pools)) }
 
-// followScheduler follows a new scheduler: everything is told anew, and what the former
-// one granted but was not used is void.
+// followScheduler switches to a new scheduler: everything is reported anew, and unused grants
+// of the former scheduler are void.
 func (p *poolState) followScheduler(id wire.NodeID, now time.Time) {
 	if id == p.scheduler {
 		return
@@ -49,7 +49,7 @@
 	p.restartNumbering()
 }
 
-// silent reports a scheduler that has left reports unanswered.
+// silent reports whether the scheduler has left reports unanswered for too long.
 func (p *poolState) silent(now time.Time, waits bool) bool {
 	return p.seq > p.answeredSeq && now.Sub(p.answeredAt) > delayFor(waits, schedulerTimeout, idleSchedulerTimeout)
 }
@@ -58,7 +58,7 @@
 	return len(p.held) > 0 || len(p.credits) > 0 || len(p.changed) > 0
 }
 
-// unsent reports rows changed since the last report went out.
+// unsent reports whether rows have changed since the last report was sent.
 func (p *poolState) unsent() bool {
 	for _, at := range p.changed {
 		if at == p.seq {
@@ -68,30 +68,30 @@
 	return false
 }
 
-// why says what makes a report due.
+// reportReasons says why a report is due.
 type reportReasons struct {
-	progressDue bool // service received in a full pool
-	full        bool // everything is told anew
+	progressDue bool // service was received in a saturated pool
+	full        bool // everything is reported anew
 	due         bool
 }
 
 func (e *Entry) reasons(p *poolState, now time.Time) reportReasons {
 	since := now.Sub(p.lastSent)
 	waits := e.hasWaiting(p)
-	hurried := p.saturated || waits
+	urgent := p.saturated || waits
 	w := reportReasons{
 		progressDue: p.saturated && len(p.progress) > 0 && now.Sub(p.lastProgress) >= progressInterval,
 		full:        p.needFull || (p.busy() && now.Sub(p.lastFull) >= fullReportInterval),
 	}
-	again := p.seq > p.answeredSeq && len(p.changed) > 0 && since >= delayFor(hurried, resendInterval, idleResendInterval)
-	alive := (waits && since >= keepAliveInterval) || (len(p.credits) > 0 && since >= creditKeepAliveInterval)
-	asked := !p.due.IsZero() && !now.Before(p.due)
-	late := p.unsent() && since >= delayFor(hurried, ackReportDelay, idleReportDelay)
-	w.due = w.progressDue || w.full || again || alive || asked || late
+	resend := p.seq > p.answeredSeq && len(p.changed) > 0 && since >= delayFor(urgent, resendInterval, idleResendInterval)
+	keepAlive := (waits && since >= keepAliveInterval) || (len(p.credits) > 0 && since >= creditKeepAliveInterval)
+	scheduled := !p.due.IsZero() && !now.Before(p.due)
+	overdue := p.unsent() && since >= delayFor(urgent, ackReportDelay, idleReportDelay)
+	w.due = w.progressDue || w.full || resend || keepAlive || scheduled || overdue
 	return w
 }
 
-// report returns the next report for a pool, if one is due.
+// buildReport returns the next report for a pool, if one is due.
 func (e *Entry) buildReport(p *poolState, now time.Time) (wire.Report, bool) {
 	w := e.reasons(p, now)
 	if !w.due {
@@ -118,7 +118,7 @@
 	return r, true
 }
 
-// sent notes that a report goes out now.
+// markSent records that a report is sent now.
 func (p *poolState) markSent(w reportReasons, now time.Time) {
 	p.seq++
 	p.lastSent = now
@@ -133,7 +133,7 @@
 	}
 }
 
-// pick returns the delay for a pool with a backlog, or for a quiet one.
+// delayFor returns the delay for a pool with a backlog, or for an idle one.
 func delayFor(busy bool, yes, no time.Duration) time.Duration {
 	if busy {
 		return yes
@@ -150,8 +150,8 @@
 	return false
 }
 
-// rowsFor lists the organisations whose rows the report carries. A full report
-// stays to be repeated until answered, like any changed row.
+// rowsFor lists the organisations whose rows the report carries. The rows of a full report are
+// repeated until answered, like any changed row.
 func (e *Entry) rowsFor(p *poolState, w reportReasons) []version.ID {
 	set := map[version.ID]bool{}
 	if w.full {
@@ -198,7 +198,7 @@
 	return r
 }
 
-// markAllHeld marks everything held as changed, for a full report.
+// markAllHeld marks every held count as changed, for a full report.
 func (p *poolState) markAllHeld() {
 	for up := range p.credits {
 		p.changedHeld[heldKey{0, up}] = p.seq
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -1,7 +1,7 @@
-// Package ledger counts the service each organisation has received, fleet-wide.
-// It is a grow-only counter with one cell for each router and incarnation
-// (Shapiro et al. 2011, G-Counter): views that disagree merge by the larger
-// cell, with nothing lost and nothing counted twice.
+// Package ledger counts the service that each organisation has received, fleet-wide. It is a
+// grow-only counter with one cell per router and incarnation (Shapiro et al. 2011, G-Counter):
+// views that differ merge to the larger value of each cell, with nothing lost and nothing
+// counted twice.
 package ledger
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Scale is how many parts of one unit of service over share a cell counts.
+// Scale is the number of parts that a cell counts per unit of service divided by share.
 const Scale = 100
 
 type cellKey struct {
@@ -22,7 +22,7 @@
 type account struct {
 	cells map[cellKey]uint64
 	sum   uint64
-	base  uint64 // cells of ended incarnations
+	base  uint64 // sum of the cells of ended incarnations
 }
 
 // Ledger is the merged service of all organisations. The control goroutine owns it.
@@ -36,8 +36,8 @@
 	return &Ledger{accounts: map[version.ID]*account{}, newest: map[wire.NodeID]wire.Incarnation{}}
 }
 
-// Merge takes one cell and returns by how much the organisation's sum rose. A
-// cell of an older incarnation than the newest known was already folded.
+// Merge merges one cell, and returns by how much the organisation's sum grew. A cell of an
+// incarnation older than the newest one known has been folded already.
 func (l *Ledger) Merge(node wire.NodeID, inc wire.Incarnation, org version.ID, norm uint64) uint64 {
 	if inc < l.newest[node] {
 		return 0
@@ -57,8 +57,8 @@
 	return norm - old
 }
 
-// fold moves the cells of an ended incarnation into the base, so that memory
-// stays at one cell for each router and organisation.
+// fold moves the cells of an ended incarnation into the base, so that memory is limited to one
+// cell per router and organisation.
 func (l *Ledger) fold(node wire.NodeID, inc wire.Incarnation) {
 	key := cellKey{node, inc}
 	for _, a := range l.accounts {
@@ -78,7 +78,7 @@
 	return a
 }
 
-// Sum returns an organisation's service over its share, in hundredths.
+// Sum returns an organisation's service divided by its share, in hundredths.
 func (l *Ledger) Sum(org version.ID) uint64 {
 	if a := l.accounts[org]; a != nil {
 		return a.sum
@@ -99,7 +99,7 @@
 	return out
 }
 
-// Size returns the number of cells held.
+// Size returns the number of cells.
 func (l *Ledger) Size() int {
 	n := 0
 	for _, a := range l.accounts {
--- a/internal/core/member/gossip.go
+++ b/internal/core/member/gossip.go
@@ -12,7 +12,7 @@
 	remaining int
 }
 
-// spread queues an update for the next datagrams.
+// queueGossip queues a router's update for the next datagrams.
 func (t *Table) queueGossip(id wire.NodeID) {
 	times := retransmitMultiplier * len(strconv.Itoa(len(t.members)))
 	for i := range t.gossip {
@@ -24,14 +24,14 @@
 	t.gossip = append(t.gossip, gossipItem{id: id, remaining: times})
 }
 
-// Lacks reports whether a router's place is not known yet. Where a pool is
-// scheduled depends on places, so views that lack one would disagree for ever.
+// LacksPlace reports whether a router's place is not known yet. The scheduler of a pool depends
+// on the places of routers, so views that lack one would disagree forever.
 func (t *Table) LacksPlace(id wire.NodeID) bool {
 	m := t.members[id]
 	return m != nil && m.Place == ""
 }
 
-// Fill puts membership's part on a datagram to a router.
+// Fill adds the membership part to a datagram for a router.
 func (t *Table) Fill(d *wire.Datagram, to wire.NodeID) {
 	d.From, d.Inc, d.Refutations, d.State = t.self.ID, t.self.Inc, t.self.Refutations, t.self.State
 	d.WantsUpdate = t.LacksPlace(to)
@@ -45,8 +45,8 @@
 	d.Updates = t.piggyback(to)
 }
 
-// piggyback returns the updates that ride on a datagram to a router. One that is held dead
-// or suspect is told so, that it may refute.
+// piggyback returns the updates for a datagram to a router. A router believed dead or suspect
+// gets its own update, so that it can refute it.
 func (t *Table) piggyback(to wire.NodeID) []wire.Update {
 	var out []wire.Update
 	if m := t.members[to]; m != nil && m.State >= wire.Suspect && m.Inc != 0 {
@@ -69,20 +69,20 @@
 	return out
 }
 
-// freshest returns the places of the rumours that were told least, those that were told
-// least first and of equal ones the earliest.
-func (t *Table) leastSent(most int) []int {
-	best := make([]int, 0, most+1)
+// leastSent returns the indices of the updates that were sent least often, in that order; of
+// equal ones the earliest come first.
+func (t *Table) leastSent(limit int) []int {
+	best := make([]int, 0, limit+1)
 	for i, r := range t.gossip {
 		at := len(best)
 		for at > 0 && t.gossip[best[at-1]].remaining < r.remaining {
 			at--
 		}
-		if at == most {
+		if at == limit {
 			continue
 		}
 		best = slices.Insert(best, at, i)
-		best = best[:min(len(best), most)]
+		best = best[:min(len(best), limit)]
 	}
 	return best
 }
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -9,31 +9,31 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// A router that has just started asks its seeds for every router they know, again and
-// again for a while: where many start at once, each knows few at first. A seed answers
-// with what has changed since its former answer, so that a fleet's common start costs each
-// router one update of every other one, and not one for each time it asks. Answered whole
-// sixteen times by three seeds, the first 15 s of 195 routers took 0.10 GB between places.
+// A router that has just started keeps requesting all members from its seeds for a while: where
+// many start at once, each knows few others at first. A seed replies with the changes since its
+// previous reply. So a common start of the fleet costs each router one update per other router,
+// not one per request. With full replies, sixteen times from each of three seeds, the first 15
+// s of 195 routers took 0.10 GB between places.
 
-// join is one table's state of it, as the one that asks and as the one that is asked.
+// join is a table's state of joining, both as the router that joins and as a seed.
 type join struct {
 	clock     uint32                           // counts the changes of this table
 	selfClock uint32                           // clock of this router's own last change
-	asking    bool                             // the next pings ask
-	since     map[wire.NodeID]uint32           // routers that asked, and the clock they know
-	answers   map[wire.NodeID]wire.JoinRequest // as the asker: what each seed has told
-	seed      int                              // the seed that is asked, of those that there are
-	attempts  int                              // asks of that seed without an answer
+	asking    bool                             // the next pings carry a join request
+	since     map[wire.NodeID]uint32           // as a seed: routers with an open request, and the clock they have
+	answers   map[wire.NodeID]wire.JoinRequest // as the joining router: the last reply of each seed
+	seed      int                              // index of the seed in use
+	attempts  int                              // requests to that seed without a reply
 }
 
-// maxJoinAttempts is after how many asks without an answer the next seed is asked.
+// maxJoinAttempts is the number of requests without a reply after which the next seed is tried.
 const maxJoinAttempts = 2
 
 func newJoin() join {
 	return join{clock: 1, selfClock: 1, since: map[wire.NodeID]uint32{}, answers: map[wire.NodeID]wire.JoinRequest{}}
 }
 
-// changed notes a change of a member, nil for this router itself.
+// changed records a change of a member, or of this router itself if m is nil.
 func (j *join) changed(m *Member) {
 	j.clock++
 	if m == nil {
@@ -43,7 +43,7 @@
 	m.clock = j.clock
 }
 
-// asked notes what a router that joins knows. What a former process told is worth nothing.
+// requested records a join request. The clock of a former process of this router is void.
 func (j *join) requested(from wire.NodeID, in *wire.JoinRequest, self wire.Incarnation) {
 	since := in.Clock
 	if in.Inc != self {
@@ -52,14 +52,15 @@
 	j.since[from] = since
 }
 
-// take returns the clock from which on a router is to be told, if it asked.
+// take returns the clock from which on to send changes to a router, and whether it has
+// requested them.
 func (j *join) take(to wire.NodeID) (since uint32, asked bool) {
 	since, asked = j.since[to]
 	delete(j.since, to)
 	return since, asked
 }
 
-// heard notes a seed's answer.
+// answered records a seed's reply.
 func (j *join) answered(from wire.NodeID, inc wire.Incarnation, clock uint32) {
 	j.attempts = 0
 	if old := j.answers[from]; old.Inc == inc && old.Clock >= clock {
@@ -68,8 +69,8 @@
 	j.answers[from] = wire.JoinRequest{Inc: inc, Clock: clock}
 }
 
-// changedSince returns the members that have changed since a clock, the earliest first, and
-// the clock up to which that is all. What does not fit is told when it is asked for again.
+// changedSince returns the members that have changed since a clock, the earliest first, and the
+// clock up to which they are complete. What does not fit is sent with the next reply.
 func (t *Table) changedSince(since uint32, to wire.NodeID) (out []wire.Update, upto uint32) {
 	var list []*Member
 	for _, m := range t.members {
@@ -92,8 +93,8 @@
 	return out, upto
 }
 
-// joining returns what a ping to a router asks of it as a seed, nil for nothing. One seed
-// is asked, another one for each router, and the next one when it does not answer.
+// joinRequest returns the join request for a ping to a router, or nil. Each router uses one
+// seed, chosen by its own ID, and turns to the next seed when that one does not reply.
 func (t *Table) joinRequest(to wire.NodeID) *wire.JoinRequest {
 	j := &t.join
 	seeds := t.otherSeeds()
@@ -107,8 +108,8 @@
 	return &known
 }
 
-// otherSeeds returns the seeds but for this router itself, beginning with one that depends
-// on this router, so that routers which start together spread over them.
+// otherSeeds returns the seeds without this router, beginning with one that depends on this
+// router's ID, so that routers that start together spread over the seeds.
 func (t *Table) otherSeeds() []wire.NodeID {
 	var out []wire.NodeID
 	for _, id := range t.seeds {
@@ -120,12 +121,12 @@
 		return nil
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(t.self.ID)) // a digest takes everything
+	_, _ = h.Write([]byte(t.self.ID)) // a hash never returns an error
 	first := int(h.Sum32() % uint32(len(out)))
 	return append(out[first:], out[:first]...)
 }
 
-// tickJoin decides whether this router still asks.
+// tickJoin decides whether this router still sends join requests.
 func (t *Table) tickJoin(now time.Time) {
 	t.join.asking = t.alone || now.Sub(t.started) < joinDuration
 }
--- a/internal/core/member/join_test.go
+++ b/internal/core/member/join_test.go
@@ -12,13 +12,13 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// group is a few tables with a network that loses everything to and from some of them.
+// cluster is a set of tables and a network that drops everything to and from some of them.
 type cluster struct {
 	now         time.Time
 	ids         []wire.NodeID
 	tables      map[wire.NodeID]*Table
 	cut         map[wire.NodeID]bool
-	joinUpdates int // updates in answers to routers that join
+	joinUpdates int // updates in replies to joining routers
 	allUpdates  int // updates in all datagrams
 }
 
@@ -59,9 +59,9 @@
 	}
 }
 
-// Load pattern: a whole fleet starts together and each router asks its seeds sixteen times
-// for every router they know. Answered whole each time, that was 2,600 updates a router here
-// (three seeds, 60 routers), and 0.1 GB between places with 195 routers.
+// Load pattern: a whole fleet starts together, and each router requests all members from its
+// seeds sixteen times. With full replies that was 2,600 updates for each router here (three
+// seeds, 60 routers), and 0.1 GB between places with 195 routers.
 func TestJoinUpdatesStayBoundedOnCommonStart(t *testing.T) {
 	const routers = 60
 	g := newCluster(routers, 3)
@@ -73,7 +73,7 @@
 	assert.Less(t, g.allUpdates, 4*routers*routers)
 }
 
-// What a seed told before it ended says nothing of what the next process knows.
+// The clock of a seed's former process says nothing about what the new process has sent.
 func TestRestartedSeedSendsAllMembers(t *testing.T) {
 	g := newCluster(20, 1)
 	g.run(300 * time.Millisecond)
@@ -88,25 +88,25 @@
 	assert.GreaterOrEqual(t, g.joinUpdates-before, 18)
 }
 
-// A lost answer is given again: the asker still names what it knew.
+// A lost reply is repeated, since the joining router still sends the clock that it has.
 func TestLostJoinReplyIsRepeated(t *testing.T) {
 	g := newCluster(10, 1)
 	g.run(300 * time.Millisecond)
 	seed, other := g.tables[g.ids[0]], g.tables[g.ids[3]]
 	seed.Handle(&wire.Datagram{From: "10.9.9.9:1", Inc: 1}, g.now)
 	for range 2 {
-		ask := &wire.Datagram{Ping: &wire.Ping{Seq: 1}}
-		other.Fill(ask, g.ids[0])
-		require.NotNil(t, ask.Join)
-		seed.Handle(ask, g.now)
-		answer := &wire.Datagram{}
-		seed.Fill(answer, g.ids[3])
-		require.Len(t, answer.Updates, 1, "the one router that is new")
-		assert.Equal(t, wire.NodeID("10.9.9.9:1"), answer.Updates[0].ID)
+		request := &wire.Datagram{Ping: &wire.Ping{Seq: 1}}
+		other.Fill(request, g.ids[0])
+		require.NotNil(t, request.Join)
+		seed.Handle(request, g.now)
+		reply := &wire.Datagram{}
+		seed.Fill(reply, g.ids[3])
+		require.Len(t, reply.Updates, 1, "only the router that is new")
+		assert.Equal(t, wire.NodeID("10.9.9.9:1"), reply.Updates[0].ID)
 	}
 }
 
-// A seed that does not answer is passed over for the next one.
+// When a seed does not reply, the next one is tried.
 func TestJoinTriesNextSeed(t *testing.T) {
 	g := newCluster(30, 3)
 	g.cut[g.ids[0]], g.cut[g.ids[2]] = true, true
--- a/internal/core/member/known_bench_test.go
+++ b/internal/core/member/known_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// BenchmarkKnown counts a fleet of 363 routers, as each decision about cold upstreams does.
-// Listing them for it, sorted, is the other case.
+// BenchmarkKnown counts a fleet of 363 routers, as each decision about cold upstreams does, and
+// compares it with listing and sorting them.
 func BenchmarkKnown(b *testing.B) {
 	now := time.Unix(0, 0)
 	t := New(wire.Update{ID: "10.0.0.0:1"}, nil, now, rand.New(rand.NewPCG(1, 1)))
--- a/internal/core/member/live.go
+++ b/internal/core/member/live.go
@@ -8,12 +8,12 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// Live returns the routers believed alive, self among them; with leaving set,
-// also those that are leaving. Sorted; the caller must not change it.
+// Live returns the routers believed alive, including this one; with leaving set, also those
+// that are leaving. The list is sorted, and the caller must not change it.
 //
-// The list is kept, and corrected by the routers whose state has changed since. Load
-// pattern: hundreds of routers start together, and each hears of the others one by one.
-// Listing and sorting all of them anew for each took half of the processor time.
+// The list is cached and patched with the routers whose state has changed since. Load pattern:
+// hundreds of routers start together, and each learns of the others one by one. Building and
+// sorting the whole list for each of them took half of the processor time.
 func (t *Table) Live(leaving bool) []wire.NodeID {
 	l := &t.live[0]
 	if leaving {
@@ -32,17 +32,17 @@
 	return l.ids
 }
 
-// liveList is the result of Live as of a count of changes.
+// liveList is the result of Live as of a number of changes.
 type liveList struct {
 	ids     []wire.NodeID
 	changes int
 }
 
-// maxChangedIDs is how many changes a list is corrected by at most; after more of them it is
-// made anew.
+// maxChangedIDs is the number of changes up to which a list is patched; after more it is built
+// anew.
 const maxChangedIDs = 64
 
-// changed counts a change of a router's state.
+// changed records a change of a router's state.
 func (t *Table) changed(id wire.NodeID) {
 	t.Changes++
 	if len(t.changedIDs) == 2*maxChangedIDs {
@@ -51,8 +51,8 @@
 	t.changedIDs = append(t.changedIDs, id)
 }
 
-// corrected returns a list with the present state of some routers. The list itself stays:
-// others may hold it.
+// patchLive returns a copy of a list with the present state of the changed routers. The list
+// itself is not changed, since others may hold it.
 func (t *Table) patchLive(ids, touched []wire.NodeID, leaving bool) []wire.NodeID {
 	out := slices.Clone(ids)
 	for _, id := range touched {
@@ -100,7 +100,8 @@
 	return sorted(ids)
 }
 
-// usable holds for a suspect that was heard before: suspicion is not death.
+// usable reports whether a member counts as live. A suspect that has sent a datagram before
+// does, since suspicion is not death.
 func (t *Table) usable(m *Member) bool {
 	switch m.State {
 	case wire.Alive, wire.Leaving:
@@ -111,10 +112,10 @@
 	return false
 }
 
-// Known counts the routers known, alive or not, self among them.
+// Known returns the number of routers known, alive or not, including this one.
 func (t *Table) Known() int { return len(t.members) + 1 }
 
-// All returns every member but self, sorted.
+// All returns every member but this router, sorted.
 func (t *Table) All() []*Member {
 	out := make([]*Member, 0, len(t.members))
 	for _, m := range t.members {
@@ -124,7 +125,7 @@
 	return out
 }
 
-// Random returns up to n live routers other than self.
+// Random returns up to n random live routers other than this one.
 func (t *Table) Random(n int) []wire.NodeID {
 	var ids []wire.NodeID
 	for _, id := range t.Live(true) {
@@ -141,22 +142,22 @@
 	return ids
 }
 
-// Heard is which routers were heard directly.
+// Received says from which routers datagrams were received.
 type Received struct {
-	Routers int             // this one is not counted
-	Places  map[string]bool // by place: whether one of its routers was heard
+	Routers int             // without this one
+	Places  map[string]bool // by place: whether a datagram of one of its routers was received
 }
 
-// ReceivedSince counts the routers from which a datagram came after a time.
+// ReceivedSince returns from which routers a datagram was received after a time.
 func (t *Table) ReceivedSince(after time.Time) Received {
 	out := Received{Places: map[string]bool{}}
 	for _, m := range t.members {
-		heard := m.Received.After(after)
-		if heard {
+		received := m.Received.After(after)
+		if received {
 			out.Routers++
 		}
 		if m.Place != "" {
-			out.Places[m.Place] = out.Places[m.Place] || heard
+			out.Places[m.Place] = out.Places[m.Place] || received
 		}
 	}
 	return out
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -14,8 +14,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// The list of live routers is corrected by what has changed and not made anew. Whatever
-// happens in between, it is the list that would be made anew.
+// The list of live routers is patched with changes. After any sequence of events it equals a
+// list built anew.
 func TestPatchedLiveListEqualsFullList(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	now := t0
@@ -44,11 +44,11 @@
 		require.Equal(t, tab.listLive(leaving), before, "step %d", step)
 		tab.Handle(&wire.Datagram{From: "10.0.3.1:1", Inc: wire.Incarnation(step + 2)}, now)
 		tab.Live(leaving)
-		require.Equal(t, kept, before, "a list that was handed out stays as it is")
+		require.Equal(t, kept, before, "a returned list does not change")
 	}
 }
 
-// The rumours that were told least go first; among equal ones the earliest.
+// The updates that were sent least often go first; of equal ones the earliest.
 func TestLeastSentGossipGoesFirst(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,7 +1,7 @@
-// Package member decides which routers are alive. It is SWIM (Das, Gupta,
-// Motivala 2002) as a pure state machine: a bounded number of probes a period
-// whatever the fleet's size, suspicion before death, and updates that ride on
-// datagrams sent anyway.
+// Package member decides which routers are alive. It implements SWIM (Das, Gupta, Motivala
+// 2002) as a pure state machine: the number of probes per period does not depend on the size of
+// the fleet, a router is suspected before it is declared dead, and updates are piggybacked on
+// datagrams that are sent anyway.
 package member
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// Timing of the failure detector.
+// Timing and limits of the failure detector.
 const (
 	ProbeInterval     = time.Second
 	ackTimeout        = 200 * time.Millisecond
@@ -21,33 +21,33 @@
 	deadTTL           = 10 * time.Minute
 	indirectProbes    = 2
 	maxPiggyback      = 6
-	maxSeedPings      = 8 // routers pinged at once at the start
+	maxSeedPings      = 8 // seeds pinged at once at the start
 	seedPingInterval  = 150 * time.Millisecond
-	// joinDuration is how long a router that has started asks its seeds again and again
-	// for every router they know: where many start at once, each knows few at first.
+	// joinDuration is how long a router that has started keeps requesting the members that its
+	// seeds know. Where many routers start at once, each knows few others at first.
 	joinDuration   = 2500 * time.Millisecond
-	maxJoinUpdates = 400 // updates in one answer, 60 bytes each
-	// retransmitMultiplier is how many times each router that hears of an update sends it on, for
-	// each tenfold of the fleet. Every router sends it on that often, so each is reached
-	// many times over; by doublings in place of tenfolds, a common start would spend most of
-	// what it sends on that.
+	maxJoinUpdates = 400 // updates in one reply, 60 bytes each
+	// retransmitMultiplier is how many times each router that learns an update sends it on, per
+	// decimal digit of the number of members. Every router sends it on that often, so each is
+	// reached many times over. With the binary logarithm instead of the number of digits, a
+	// common start of the fleet would spend most of its traffic on these updates.
 	retransmitMultiplier = 4
 )
 
 // Member is one router as this one knows it.
 type Member struct {
 	wire.Update
-	Since    time.Time // of the present state
-	Received time.Time // last datagram from it
-	pinged   bool      // it was pinged since it was met
-	clock    uint32    // of this table, at the latest change
+	Since    time.Time // start of the present state
+	Received time.Time // time of the last datagram from it
+	pinged   bool      // it has been pinged since it was added
+	clock    uint32    // of this table, at the latest change of the member
 }
 
 // Table is the membership state. The control goroutine owns it.
 type Table struct {
 	self            wire.Update
 	members         map[wire.NodeID]*Member
-	roster          map[wire.NodeID]bool // from the VM list, a hint
+	roster          map[wire.NodeID]bool // from the VM list; only a hint
 	order           []wire.NodeID
 	next            int
 	probe           probe
@@ -55,18 +55,18 @@
 	lastProbe       time.Time
 	lastDeadRetry   time.Time
 	lastExpiry      time.Time
-	alone           bool // no other router was heard yet
+	alone           bool // no datagram of another router has arrived yet
 	started         time.Time
 	seeds           []wire.NodeID
 	join            join
 	lastSeedPing    time.Time
 	rnd             *rand.Rand
 	relays          map[uint32]relay
-	updateRequested map[wire.NodeID]bool // routers that asked for this one's own update
+	updateRequested map[wire.NodeID]bool // routers that requested this router's own update
 	seq             uint32
 	live            [2]liveList
-	changedIDs      []wire.NodeID // the routers of the latest changes, in order
-	Changes         int           // counts changes of state, for whoever caches a view
+	changedIDs      []wire.NodeID // routers of the latest changes, in order
+	Changes         int           // counts changes of state, for callers that cache a view
 }
 
 type probe struct {
@@ -83,14 +83,14 @@
 	at   time.Time
 }
 
-// Send is a ping or ack to put on the network.
+// Send is a ping or ack to be sent.
 type Send struct {
 	To   wire.NodeID
 	Ping *wire.Ping
 	Ack  *wire.Ack
 }
 
-// New returns a table that knows itself and, as unheard, its seeds.
+// New returns a table that knows this router and, as suspect until they answer, its seeds.
 func New(self wire.Update, seeds []wire.NodeID, now time.Time, rnd *rand.Rand) *Table {
 	t := &Table{
 		self:            self,
@@ -110,7 +110,7 @@
 	return t
 }
 
-// Self returns this router's own entry.
+// Self returns this router's own update.
 func (t *Table) Self() wire.Update { return t.self }
 
 // Leave marks this router as leaving: it takes no new scheduler role.
@@ -122,15 +122,15 @@
 	t.changed(t.self.ID)
 }
 
-// Refresh raises this router's own number, after a pause in which others may
-// have given it up.
+// Refresh raises this router's own refutation number, after a pause in which others may have
+// declared it dead.
 func (t *Table) Refresh() {
 	t.self.Refutations++
 	t.queueGossip(t.self.ID)
 }
 
-// SetRoster takes the routers of the VM list. New ones are probed; absence
-// proves nothing, since the list lags.
+// SetRoster sets the routers of the VM list. New ones are probed. Absence from the list proves
+// nothing, since the list lags.
 func (t *Table) SetRoster(ids []wire.NodeID, now time.Time) {
 	t.roster = map[wire.NodeID]bool{}
 	for _, id := range ids {
@@ -141,8 +141,9 @@
 	}
 }
 
-// Roster returns every router the VM list or the fleet names, sorted, alive or
-// not. Quorums are taken over it, so that a cut does not shrink them.
+// Roster returns every known router that the VM list names, or every known router when there is
+// no list, sorted, alive or not. Quorums are taken over it, so that a partition does not shrink
+// them.
 func (t *Table) Roster() []wire.NodeID {
 	ids := []wire.NodeID{t.self.ID}
 	for id := range t.members {
@@ -153,7 +154,7 @@
 	return sorted(ids)
 }
 
-// Meet adds routers that may be there, to be probed.
+// Add adds routers that may exist, to be probed.
 func (t *Table) Add(ids []wire.NodeID, now time.Time) {
 	for _, id := range ids {
 		t.add(id, now)
@@ -166,8 +167,8 @@
 	}
 	t.members[id] = &Member{Update: wire.Update{ID: id, State: wire.Suspect}, Since: now}
 	t.order = append(t.order, id)
-	// At random (SWIM 4.3): in a common start all routers would probe the same one each
-	// second.
+	// At a random position (SWIM 4.3): after a common start all routers would otherwise probe
+	// the same one each second.
 	i, last := t.rnd.IntN(len(t.order)), len(t.order)-1
 	t.order[i], t.order[last] = t.order[last], t.order[i]
 	t.changed(id)
@@ -176,7 +177,7 @@
 // Get returns what is known of a router, or nil.
 func (t *Table) Get(id wire.NodeID) *Member { return t.members[id] }
 
-// Hear takes a datagram's membership part. It returns acks and relayed pings.
+// Handle handles the membership part of a datagram. It returns acks and relayed pings.
 func (t *Table) Handle(d *wire.Datagram, now time.Time) []Send {
 	t.handleDirect(d, now)
 	if d.WantsUpdate {
@@ -201,7 +202,8 @@
 	return out
 }
 
-// direct is evidence from the router itself, stronger than anyone's suspicion.
+// handleDirect takes a datagram as evidence that its sender is alive, which is stronger than
+// the suspicion of any other router.
 func (t *Table) handleDirect(d *wire.Datagram, now time.Time) {
 	t.alone = false
 	t.add(d.From, now)
@@ -217,7 +219,7 @@
 		return
 	}
 	if m.State == wire.Dead {
-		t.queueGossip(d.From) // it will hear of its death and refute it
+		t.queueGossip(d.From) // it will receive the update of its death and refute it
 	}
 }
 
@@ -228,8 +230,8 @@
 	return m.Refutations
 }
 
-// learn takes an update that rode on a datagram. One of an answer to a router that joins
-// is not sent on: whoever answered is telling it to all.
+// applyUpdate applies a piggybacked update. An update from a reply to a joining router is not
+// sent on, since the router that replied is already spreading it.
 func (t *Table) applyUpdate(u wire.Update, joining bool, now time.Time) {
 	if u.ID == t.self.ID {
 		t.refute(u)
@@ -257,7 +259,7 @@
 	}
 }
 
-// supersedes orders updates: incarnation, then refutation, then the graver state.
+// supersedes orders updates by incarnation, then refutations, then the graver state.
 func supersedes(u, old wire.Update) bool {
 	if u.Inc != old.Inc {
 		return u.Inc > old.Inc
@@ -268,7 +270,7 @@
 	return u.State > old.State
 }
 
-// refute refutes a report of this router's own suspicion or death.
+// refute overrules a suspicion or death of this router that others report.
 func (t *Table) refute(u wire.Update) {
 	if u.Inc == t.self.Inc && u.State >= wire.Suspect && u.Refutations >= t.self.Refutations {
 		t.self.Refutations = u.Refutations + 1
@@ -288,7 +290,7 @@
 	t.join.changed(m)
 }
 
-// Suspect starts the suspicion of a router that does not answer.
+// Suspect marks a router that does not answer as suspect.
 func (t *Table) Suspect(id wire.NodeID, now time.Time) {
 	m := t.members[id]
 	if m == nil || m.State >= wire.Suspect {
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -49,7 +49,7 @@
 	run(m, t0.Add(1500*time.Millisecond), 3*time.Second)
 	assert.Equal(t, wire.Dead, m.Get(peer).State)
 	assert.NotContains(t, m.Live(true), peer)
-	assert.Contains(t, m.Roster(), peer, "quorums are taken over the dead too")
+	assert.Contains(t, m.Roster(), peer, "quorums are taken over dead routers too")
 }
 
 func TestDirectEvidenceClearsSuspicion(t *testing.T) {
@@ -66,7 +66,7 @@
 	run(m, t0, 6*time.Second)
 	require.Equal(t, wire.Dead, m.Get(peer).State)
 	assert.NotEmpty(t, run(m, t0.Add(6*time.Second), 5*time.Second))
-	assert.Equal(t, wire.Dead, m.piggyback(peer)[0].State, "it is told of its death")
+	assert.Equal(t, wire.Dead, m.piggyback(peer)[0].State, "it receives the update of its death")
 	m.Handle(&wire.Datagram{From: peer, Inc: 7, Refutations: m.Get(peer).Refutations + 1}, t0.Add(12*time.Second))
 	assert.Equal(t, wire.Alive, m.Get(peer).State)
 }
@@ -76,7 +76,7 @@
 	m.Handle(&wire.Datagram{From: peer, Inc: 7, Updates: []wire.Update{{ID: self, Inc: 5, Refutations: 3, State: wire.Dead}}}, t0)
 	assert.Equal(t, uint32(4), m.Self().Refutations)
 	m.Handle(&wire.Datagram{From: peer, Inc: 7, Updates: []wire.Update{{ID: self, Inc: 4, Refutations: 9, State: wire.Dead}}}, t0)
-	assert.Equal(t, uint32(4), m.Self().Refutations, "of a former process")
+	assert.Equal(t, uint32(4), m.Self().Refutations, "the report is about a former process")
 }
 
 func TestUpdatesAreOrdered(t *testing.T) {
@@ -130,8 +130,8 @@
 	assert.LessOrEqual(t, len(m.piggyback(peer)), maxPiggyback)
 }
 
-// Routers that started a moment before their seeds stayed
-// alone for seconds, each its own scheduler.
+// Routers that started just before their seeds stayed alone for seconds, each as its own
+// scheduler, when the seeds were pinged only once.
 func TestSeedsArePingedUntilOneAnswers(t *testing.T) {
 	now := t0
 	tab := New(wire.Update{ID: "a", Inc: 1}, []wire.NodeID{"b", "c"}, now, rand.New(rand.NewPCG(1, 1)))
@@ -146,11 +146,11 @@
 	tab.Handle(&wire.Datagram{From: "b", Inc: 1}, now)
 	pings(joinDuration)
 	tab.Handle(&wire.Datagram{From: "b", Inc: 1}, now)
-	assert.LessOrEqual(t, pings(900*time.Millisecond), 3, "and not for ever")
+	assert.LessOrEqual(t, pings(900*time.Millisecond), 3, "and not forever")
 }
 
-// When all routers start at once: each knew the few that its
-// seeds had met by then, and for seconds they disagreed on who schedules.
+// When all routers start at once, each knew only the few routers that its seeds had met by
+// then, and for seconds they disagreed on the schedulers.
 func TestRoutersStartedTogetherFindEachOther(t *testing.T) {
 	const routers = 40
 	now := t0
--- a/internal/core/member/outbox.go
+++ b/internal/core/member/outbox.go
@@ -2,14 +2,14 @@
 
 import "github.com/silverswitch/silverswitch/internal/core/wire"
 
-// Outbox fills one datagram for each router, so that everything for it since the
-// last sending goes out together. Its zero value is empty.
+// Outbox collects one datagram for each router, so that everything for it since the last flush
+// is sent together. Its zero value is empty.
 type Outbox struct {
 	datagrams map[wire.NodeID]*wire.Datagram
-	order     []wire.NodeID // in which they were begun
+	order     []wire.NodeID // in order of creation
 }
 
-// To returns the datagram being filled for a router.
+// To returns the datagram under construction for a router.
 func (o *Outbox) To(id wire.NodeID) *wire.Datagram {
 	d := o.datagrams[id]
 	if d != nil {
@@ -24,7 +24,7 @@
 	return d
 }
 
-// Crashes returns the part on requests that crash upstreams of the datagram for a router.
+// Crashes returns the part of a router's datagram about requests that crash upstreams.
 func (o *Outbox) Crashes(id wire.NodeID) *wire.CrashUpdate {
 	d := o.To(id)
 	if d.Crashes == nil {
@@ -33,7 +33,7 @@
 	return d.Crashes
 }
 
-// ReplyCrashes adds an answer on requests that crash upstreams; nil is none.
+// ReplyCrashes adds a reply about requests that crash upstreams; nil means none.
 func (o *Outbox) ReplyCrashes(to wire.NodeID, answer *wire.CrashUpdate) {
 	if answer == nil {
 		return
@@ -43,20 +43,21 @@
 	c.HasChecksum, c.Checksum = answer.HasChecksum, answer.Checksum
 }
 
-// SendCrashes adds news on requests that crash upstreams for every live router but one.
-func (o *Outbox) SendCrashes(live []wire.NodeID, but wire.NodeID, news []wire.CrashRecord) {
-	if len(news) == 0 {
+// SendCrashes adds records of requests that crash upstreams to the datagrams of all live
+// routers but one.
+func (o *Outbox) SendCrashes(live []wire.NodeID, but wire.NodeID, records []wire.CrashRecord) {
+	if len(records) == 0 {
 		return
 	}
 	for _, id := range live {
 		if id != but {
 			c := o.Crashes(id)
-			c.Records = append(c.Records, news...)
+			c.Records = append(c.Records, records...)
 		}
 	}
 }
 
-// Post adds what membership sends.
+// Add adds a ping or ack.
 func (o *Outbox) Add(s Send) {
 	d := o.To(s.To)
 	if s.Ping != nil {
@@ -83,8 +84,8 @@
 	return d
 }
 
-// Seal puts membership's head on every datagram, hands each over, and empties the
-// box.
+// Flush adds the membership part to every datagram, passes each to send, and empties the
+// outbox.
 func (o *Outbox) Flush(t *Table, send func(to wire.NodeID, d *wire.Datagram)) {
 	for _, id := range o.order {
 		d := o.datagrams[id]
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -6,8 +6,8 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// Tick runs the failure detector: one probe a period, help from others before
-// suspicion, death after suspicion, and a look for those that died.
+// Tick runs the failure detector: one probe per period, indirect probes before suspicion, death
+// after suspicion, and pings to routers believed dead.
 func (t *Table) Tick(now time.Time) []Send {
 	var out []Send
 	out = append(out, t.followProbe(now)...)
@@ -31,7 +31,8 @@
 	return out
 }
 
-// chase follows the open probe: ask others, then suspect.
+// followProbe continues the open probe: after one timeout it probes indirectly, after two it
+// suspects the target.
 func (t *Table) followProbe(now time.Time) []Send {
 	if !t.probe.open {
 		return nil
@@ -58,8 +59,8 @@
 	return out
 }
 
-// bury turns old suspicion into death, and forgets the long dead that the VM
-// list does not name.
+// expireMembers declares routers dead that were suspect for too long, and removes long dead
+// ones that the VM list does not name.
 func (t *Table) expireMembers(now time.Time) {
 	for id, m := range t.members {
 		if m.State == wire.Suspect && m.pinged && now.Sub(m.Since) >= suspicionTimeout {
@@ -90,8 +91,8 @@
 	t.changed(id)
 }
 
-// startProbe pings the next router of a shuffled round (SWIM 4.3), so that each
-// is probed within one round whatever the luck.
+// startProbe pings the next router of a shuffled round (SWIM 4.3), so that each router is
+// probed within a round.
 func (t *Table) startProbe(now time.Time) []Send {
 	for range t.order {
 		if t.next >= len(t.order) {
@@ -107,10 +108,10 @@
 	return nil
 }
 
-// greet pings a few of the seeds at once, so that a router that starts is known
-// and hears of the others within a round trip. It is repeated until some router
-// was heard: seeds start in any order, and a datagram to a port that is not open
-// yet is lost.
+// pingSeeds pings a few of the seeds at once, so that a router that starts is known to others
+// and learns of them within a round trip. It is repeated until a datagram of another router
+// arrives, and while this router joins: seeds start in any order, and a datagram to a port that
+// is not open yet is lost.
 func (t *Table) pingSeeds(now time.Time) []Send {
 	var out []Send
 	for _, id := range t.seeds[:min(maxSeedPings, len(t.seeds))] {
@@ -121,7 +122,7 @@
 		if !m.pinged {
 			m.pinged, m.Since = true, now
 		}
-		t.seq++ // no probe: silence proves nothing yet
+		t.seq++ // not a probe: silence proves nothing yet
 		out = append(out, Send{To: id, Ping: &wire.Ping{Seq: t.seq}})
 	}
 	return out
@@ -137,7 +138,7 @@
 	return []Send{{To: id, Ping: &wire.Ping{Seq: t.seq}}}
 }
 
-// pingDead pings one dead router, so that the two sides of a cut find each other.
+// pingDead pings one dead router, so that the two sides of a partition find each other again.
 func (t *Table) pingDead() []Send {
 	var dead []wire.NodeID
 	for _, id := range t.order {
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -37,15 +37,15 @@
 		b.Ready(t0)
 	}
 	a.Step(Receive{&wire.Datagram{From: "10.0.0.2:1", Inc: wire.IncarnationAt(t0), Ping: &wire.Ping{Seq: 1}}}, t0)
-	ask := datagramTo(a.Ready(t0), "10.0.0.2:1")
-	require.NotNil(t, ask)
-	assert.True(t, ask.WantsUpdate)
-	ask.From = "10.0.0.1:1"
-	b.Step(Receive{ask}, t0)
-	answer := datagramTo(b.Ready(t0), "10.0.0.1:1")
-	require.NotNil(t, answer)
-	answer.From = "10.0.0.2:1"
-	a.Step(Receive{answer}, t0)
+	request := datagramTo(a.Ready(t0), "10.0.0.2:1")
+	require.NotNil(t, request)
+	assert.True(t, request.WantsUpdate)
+	request.From = "10.0.0.1:1"
+	b.Step(Receive{request}, t0)
+	reply := datagramTo(b.Ready(t0), "10.0.0.1:1")
+	require.NotNil(t, reply)
+	reply.From = "10.0.0.2:1"
+	a.Step(Receive{reply}, t0)
 	assert.Equal(t, "a", a.members.Get("10.0.0.2:1").Place)
 }
 
--- a/internal/core/quarantine/crash.go
+++ b/internal/core/quarantine/crash.go
@@ -9,27 +9,27 @@
 
 // Crash is one upstream that crashed while it ran a request.
 type Crash struct {
-	Upstream version.ID // names the crash: the same at all routers
+	Upstream version.ID // identifies the crash; the same at all routers
 	Early    bool       // the answer had no event yet
-	Began    time.Time  // of the attempt
+	Began    time.Time  // start of the attempt
 	At       time.Time
 }
 
-// crashTolerance is how much before the crash before an attempt may seem to have begun that
-// was sent after it: routers tell each other in milliseconds, and hear each other late.
+// crashTolerance is how much earlier than the previous crash an attempt may seem to have begun
+// although it was sent after it. Routers exchange times in milliseconds, and receive them late.
 const crashTolerance = 20 * time.Millisecond
 
-// mergeCrash adds a crash to those known, which are sorted by time, and reports whether
-// there was news in it. What was known first of a crash stays, so that routers which tell
-// each other again and again come to rest.
+// mergeCrash adds a crash to the known ones, which are sorted by time, and reports whether that
+// changed anything. Of a crash that is known already, the first record stays, so that routers
+// that exchange records repeatedly converge.
 func mergeCrash(known []Crash, c Crash) ([]Crash, bool) {
 	for i := range known {
 		if known[i].Upstream != c.Upstream {
 			continue
 		}
-		news := c.Early && !known[i].Early
+		changed := c.Early && !known[i].Early
 		known[i].Early = known[i].Early || c.Early
-		return known, news
+		return known, changed
 	}
 	if len(known) >= maxCrashesPerRequest {
 		return known, false
@@ -39,10 +39,10 @@
 	return known, true
 }
 
-// levelOf judges crashes that are sorted by time. Only those count whose attempt began
-// after the crash counted before: many upstreams may lose power at once, and what several
-// of them ran then is no more suspect than what one of them ran. Load pattern: a request
-// that everyone sends is at three upstreams of a rack when it goes.
+// levelOf returns the level for crashes that are sorted by time. A crash counts only if its
+// attempt began after the previous crash that counted: many upstreams may lose power at once,
+// and what several of them ran then is no more suspect than what one of them ran. Load pattern:
+// a request that everyone sends is at three upstreams of a rack when it loses power.
 func levelOf(crashes []Crash) int {
 	count, early := 0, 0
 	var before time.Time
@@ -65,7 +65,7 @@
 	return levelNone
 }
 
-// ageMS and ago tell a time as routers tell it to each other.
+// ageMS and ago convert a time to the age that routers send each other, and back.
 func ageMS(now, t time.Time) uint32 { return uint32(max(0, now.Sub(t).Milliseconds())) }
 
 func ago(now time.Time, ms uint32) time.Time {
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,14 +1,16 @@
-// Package quarantine keeps which requests were running at upstreams that crashed, and
-// decides which of them are held back from all others.
+// Package quarantine records which requests were running at upstreams that crashed, and decides
+// which of them are held back to protect the other requests.
 //
-// Load pattern: a request ends each upstream that begins to run it, and comes again at
-// any router. Whatever runs beside it is suspected with it, tens of sound requests for one
-// that is guilty; a few crashes in a row without a whole answer between tell them apart.
+// Load pattern: a request crashes each upstream that begins to run it, and comes again at any
+// router. Every request that runs beside it is suspected with it: tens of sound requests for
+// each guilty one. Several crashes in a row without a complete answer in between tell them
+// apart.
 //
-// What is known of a request is the set of upstreams that crashed under it since its last
-// whole answer, and the number of those answers: of two sets the one after more answers
-// is right, and after equally many both are joined. So nothing is counted twice or lost
-// after a cut. Time is an argument; one goroutine owns a list.
+// A router's knowledge of a request is the set of upstreams that crashed while running it since
+// its last complete answer, and the number of complete answers. Of two such records, the one
+// with more answers supersedes the other; with equally many, their sets are joined. So a merge
+// after a partition neither counts anything twice nor loses anything. Time is passed as an
+// argument, and one goroutine owns a list.
 package quarantine
 
 import (
@@ -22,57 +24,59 @@
 )
 
 const (
-	// HoldAfterCrashes is the number of crashes, one after the other, from which a request is held
-	// for long. Two prove too little where an answer had begun: a stream that is resumed
-	// when its upstream crashes meets another crash by chance.
+	// HoldAfterCrashes is the number of consecutive crashes from which on a request is held for
+	// long. Two prove too little where an answer had begun: a stream that is resumed after a
+	// crash meets another crash by chance.
 	HoldAfterCrashes = 3
-	// holdDuration is how long a request is held then, and twice as long after each crash more:
-	// every time that it is tried again may cost an upstream.
+	// holdDuration is how long a request is then held. It doubles with each further crash,
+	// since every trial of the request may cost an upstream.
 	holdDuration    = 10 * time.Minute
 	maxHoldDuration = 2 * time.Hour
-	// briefHoldDuration is how long it is held after two crashes that both came before the
-	// answer's first event: what ends an upstream when it begins to run has had none, of
-	// the sound requests beside it few have not. It is longer than a caller's tries last.
-	// (TestRacksThatLosePowerCondemnFewSoundRequests has the figures.)
+	// briefHoldDuration is how long a request is held after two crashes that both came before
+	// the first event of its answer. A request that crashes an upstream when it begins to run
+	// has had no event, which is true of few of the sound requests beside it. The duration is
+	// longer than the retries of a caller. (TestRacksThatLosePowerCondemnFewSoundRequests has
+	// the figures.)
 	briefHoldDuration = 30 * time.Second
-	// suspicionTTL is how long crashes are remembered that hold nothing, or no longer.
+	// suspicionTTL is how long crashes that do not hold the request, or no longer do, are
+	// remembered.
 	suspicionTTL = 10 * time.Minute
-	// maxEntries bounds the requests remembered. A crash makes tens of them: this holds
-	// what 40 crashes with 50 requests each leave within suspicionTTL.
+	// maxEntries bounds the requests remembered. A crash adds tens of them: this holds what 40
+	// crashes with 50 requests each leave within suspicionTTL.
 	maxEntries = 2000
-	// maxCrashesPerRequest bounds the crashes remembered of one request: more than what holds it
-	// longest are of no use.
+	// maxCrashesPerRequest bounds the crashes remembered of one request. More than are needed
+	// for the longest hold are of no use.
 	maxCrashesPerRequest = 8
 )
 
 // List is what one router knows. Its methods must be called by one goroutine.
 type List struct {
 	entries  map[fingerprint.Fingerprint]*entry
-	changed  bool // since View was called
+	changed  bool // since the last call of View
 	sum      uint64
-	sumValid bool // sum holds: every regular message tells it
+	sumValid bool // sum is up to date; it is cached since every heartbeat carries it
 }
 
 type entry struct {
 	org       version.ID
-	answers   uint32  // whole ones that were told of: they clear what was before
-	crashes   []Crash // since then, by time
-	level     int     // that they hold the request at; it never falls without an answer
-	held      bool    // it is, or was before an answer, held
+	answers   uint32  // complete answers; each clears the crashes before it
+	crashes   []Crash // since the last answer, by time
+	level     int     // at which the crashes hold the request; it never decreases without an answer
+	held      bool    // the request is held, or was held before an answer
 	lastCrash time.Time
 }
 
 // New returns an empty list.
 func New() *List { return &List{entries: map[fingerprint.Fingerprint]*entry{}} }
 
-// Levels at which a request is held; each further crash adds one.
+// Levels at which a request is held. From levelLong on, each further crash adds one.
 const (
 	levelNone = iota
 	levelBrief
 	levelLong
 )
 
-// hold is how long the request is held after its last crash, 0 when it is not.
+// hold is how long the request is held after its last crash, 0 when it is not held.
 func (e *entry) hold() time.Duration {
 	switch e.level {
 	case levelNone:
@@ -83,29 +87,29 @@
 	return min(holdDuration<<(e.level-levelLong), maxHoldDuration)
 }
 
-// forgotten reports whether the entry says nothing any more. A request that was held is
-// remembered as long again after it: the next crash holds it at once.
+// expired reports whether the entry can be removed. A request that was held is remembered for
+// as long again afterwards, so that the next crash holds it at once.
 func (e *entry) expired(now time.Time) bool {
 	return now.Sub(e.lastCrash) >= max(suspicionTTL, 2*e.hold())
 }
 
-// Crashed notes that an upstream crashed while it ran a request. It reports whether that
-// is news.
+// AddCrash records that an upstream crashed while it ran a request. It reports whether the
+// crash changed anything.
 func (l *List) AddCrash(f fingerprint.Fingerprint, org version.ID, c Crash) bool {
 	e := l.entry(f, org)
 	return l.settle(e, e.addCrash(c), c.At)
 }
 
-// join adds a crash, and reports whether there was news in it.
+// addCrash adds a crash, and reports whether it changed the entry.
 func (e *entry) addCrash(c Crash) bool {
-	var news bool
-	e.crashes, news = mergeCrash(e.crashes, c)
+	var changed bool
+	e.crashes, changed = mergeCrash(e.crashes, c)
 	e.level = max(e.level, levelOf(e.crashes))
-	return news
+	return changed
 }
 
-// Answered notes that a request was answered whole: no crash before speaks against it. It
-// reports whether that is news.
+// Answered records that a request received a complete answer, which clears all crashes before
+// it. It reports whether there were any.
 func (l *List) Answered(f fingerprint.Fingerprint) bool {
 	e := l.entries[f]
 	if e == nil || len(e.crashes) == 0 {
@@ -116,33 +120,33 @@
 	return true
 }
 
-// clear forgets the crashes before a whole answer.
+// clear removes the crashes before a complete answer.
 func (e *entry) clear(answers uint32) { e.answers, e.crashes, e.level = answers, nil, levelNone }
 
-// Join takes what another router knows. It reports whether there was news in it.
+// Merge merges what another router knows of a request. It reports whether the entry changed.
 func (l *List) Merge(w wire.CrashRecord, now time.Time) bool {
 	e := l.entry(fingerprint.Fingerprint(w.Content), w.Org)
 	at := ago(now, w.AgeMS)
-	news := w.Held && !e.held
+	changed := w.Held && !e.held
 	e.held = e.held || w.Held
 	if w.Answers < e.answers {
-		return l.settle(e, news, at)
+		return l.settle(e, changed, at)
 	}
 	if w.Answers > e.answers {
 		e.clear(w.Answers)
-		news = true
+		changed = true
 	}
 	for _, c := range w.Crashes {
 		more := e.addCrash(Crash{Upstream: c.Upstream, Early: c.Early, Began: ago(now, c.AttemptAgeMS), At: ago(now, c.AgeMS)})
-		news = news || more
+		changed = changed || more
 	}
 	if int(w.Level) > e.level {
-		e.level, news = int(w.Level), true
+		e.level, changed = int(w.Level), true
 	}
-	return l.settle(e, news, at)
+	return l.settle(e, changed, at)
 }
 
-// entry returns what is known of a request, which may be nothing yet.
+// entry returns the entry of a request, which is created if necessary.
 func (l *List) entry(f fingerprint.Fingerprint, org version.ID) *entry {
 	e := l.entries[f]
 	if e == nil {
@@ -153,51 +157,51 @@
 	return e
 }
 
-// settle ends a change of an entry, and reports whether it was one.
-func (l *List) settle(e *entry, news bool, at time.Time) bool {
+// settle completes a change of an entry, and returns whether it was one.
+func (l *List) settle(e *entry, changed bool, at time.Time) bool {
 	if at.After(e.lastCrash) {
 		e.lastCrash = at
 	}
 	e.held = e.held || e.level > levelNone
-	if news {
+	if changed {
 		l.markChanged()
 	}
-	return news
+	return changed
 }
 
-// touch notes that something has changed.
+// markChanged records that something has changed.
 func (l *List) markChanged() { l.changed, l.sumValid = true, false }
 
-// evictIfFull forgets one entry when the list is full: of the organisation that has most of
-// them, so that one that sends a new deadly request each time displaces its own; of these
-// the one with the fewest crashes, the oldest first.
+// evictIfFull removes one entry when the list is full: an entry of the organisation with the
+// most entries, so that an organisation that sends ever new crashing requests displaces its
+// own; of these the one with the lowest level, then the fewest crashes, then the oldest.
 func (l *List) evictIfFull() {
 	if len(l.entries) < maxEntries {
 		return
 	}
 	count := map[version.ID]int{}
-	var most version.ID
+	var largest version.ID
 	for _, e := range l.entries {
 		count[e.org]++
-		if n := cmp.Or(cmp.Compare(count[e.org], count[most]), cmp.Compare(e.org, most)); n > 0 {
-			most = e.org
+		if n := cmp.Or(cmp.Compare(count[e.org], count[largest]), cmp.Compare(e.org, largest)); n > 0 {
+			largest = e.org
 		}
 	}
-	var least fingerprint.Fingerprint
+	var victim fingerprint.Fingerprint
 	for f, e := range l.entries {
-		if e.org != most {
+		if e.org != largest {
 			continue
 		}
-		o := l.entries[least]
-		if o == nil || cmp.Or(cmp.Compare(e.level, o.level), cmp.Compare(len(e.crashes), len(o.crashes)), e.lastCrash.Compare(o.lastCrash), cmp.Compare(f, least)) < 0 {
-			least = f
+		o := l.entries[victim]
+		if o == nil || cmp.Or(cmp.Compare(e.level, o.level), cmp.Compare(len(e.crashes), len(o.crashes)), e.lastCrash.Compare(o.lastCrash), cmp.Compare(f, victim)) < 0 {
+			victim = f
 		}
 	}
-	delete(l.entries, least)
+	delete(l.entries, victim)
 	l.markChanged()
 }
 
-// Expire forgets what says nothing any more.
+// Expire removes expired entries.
 func (l *List) Expire(now time.Time) {
 	for f, e := range l.entries {
 		if e.expired(now) {
@@ -209,11 +213,11 @@
 
 // State is what is known of a request.
 type State struct {
-	Crashes int       // since its last whole answer
-	Until   time.Time // it is held so long, the zero time when it is not
+	Crashes int       // since its last complete answer
+	Until   time.Time // end of the hold; the zero time when it is not held
 }
 
-// Held returns how much longer the request is held, 0 when it is not.
+// Held returns how much longer the request is held, 0 when it is not held.
 func (s State) Held(now time.Time) time.Duration {
 	if s.Until.IsZero() {
 		return 0
@@ -238,8 +242,8 @@
 	return e.state()
 }
 
-// View is a copy of the list that does not change, by organisation: requests of one that
-// has none need no fingerprint.
+// View is an immutable copy of the list, by organisation. For requests of an organisation
+// without an entry no fingerprint needs to be computed.
 type View map[version.ID]map[fingerprint.Fingerprint]State
 
 // View returns a copy, and whether anything has changed since the last one.
@@ -262,7 +266,7 @@
 	return out, true
 }
 
-// Told returns what is known of one request as it is told to other routers.
+// Record returns the record of one request for other routers.
 func (l *List) Record(f fingerprint.Fingerprint, now time.Time) (wire.CrashRecord, bool) {
 	e := l.entries[f]
 	if e == nil {
@@ -275,7 +279,7 @@
 	return w, true
 }
 
-// Decided returns the requests that are, or were, held, the latest crash first.
+// HeldRecords returns the records of requests that are or were held, the latest crash first.
 func (l *List) HeldRecords(now time.Time) []wire.CrashRecord {
 	var out []wire.CrashRecord
 	for f, e := range l.entries {
@@ -291,11 +295,12 @@
 	return out
 }
 
-// spread is an odd number that spreads small ones over 64 bits (golden ratio; Knuth, The
-// Art of Computer Programming 3, 6.4).
+// goldenRatio64 is an odd number that spreads small numbers over 64 bits (golden ratio; Knuth,
+// The Art of Computer Programming 3, 6.4).
 const goldenRatio64 = 0x9E3779B97F4A7C15
 
-// Sum is the same at two routers that hold, and held, the same requests.
+// Checksum returns a value that is the same at two routers that hold, and held, the same
+// requests.
 func (l *List) Checksum() uint64 {
 	if l.sumValid {
 		return l.sum
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -19,7 +19,7 @@
 	beta  version.ID = 2
 )
 
-// crash is one under an attempt that began when the crash before had come.
+// crash returns a crash of an attempt that began just after the previous crash.
 func crash(up version.ID, early bool, at time.Time) Crash {
 	return Crash{Upstream: up, Early: early, Began: at, At: at}
 }
@@ -37,7 +37,8 @@
 	assert.False(t, held(l, 8, start))
 }
 
-// What ends an upstream when it begins to run has had no event; two such crashes hold it.
+// A request that crashes an upstream when it begins to run has had no event. Two such crashes
+// hold it.
 func TestTwoEarlyCrashesHoldRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		early []bool
@@ -57,8 +58,8 @@
 	}
 }
 
-// Two early crashes prove less than three: they hold the request for longer than its
-// caller tries, and then the third is its trial.
+// Two early crashes prove less than three. They hold the request for longer than its caller
+// retries; after that the third attempt is a trial.
 func TestTwoEarlyCrashesHoldBriefly(t *testing.T) {
 	l := New()
 	l.AddCrash(7, alpha, crash(10, true, start))
@@ -70,7 +71,7 @@
 	assert.True(t, held(l, 7, now.Add(holdDuration-time.Second)))
 }
 
-// A rack loses power: what ran at several of its upstreams crashed once.
+// When a rack loses power, a request that ran at several of its upstreams has crashed once.
 func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	l := New()
 	for up := range version.ID(5) {
@@ -78,10 +79,10 @@
 	}
 	assert.False(t, held(l, 7, start))
 	l.AddCrash(7, alpha, crash(20, true, start.Add(10*time.Millisecond)))
-	assert.True(t, held(l, 7, start.Add(time.Second)), "an attempt that was sent after it is another one")
+	assert.True(t, held(l, 7, start.Add(time.Second)), "an attempt sent after the crash counts separately")
 }
 
-// Two attempts at one upstream, one of which had an event: it is one crash, an early one.
+// Of two attempts at one upstream, only one had no event: it is one crash, and an early one.
 func TestCrashIsEarlyIfAnyRouterSawItEarly(t *testing.T) {
 	a, b := New(), New()
 	for up := range version.ID(2) {
@@ -108,8 +109,8 @@
 	assert.True(t, held(l, 7, start))
 }
 
-// Every lapse may cost an upstream: after it one more crash holds the request again, for
-// twice as long.
+// Every end of a hold may cost an upstream: one more crash after it holds the request again,
+// for twice as long.
 func TestCrashAfterExpiredHoldHoldsLonger(t *testing.T) {
 	l := New()
 	for up := range version.ID(3) {
@@ -118,7 +119,7 @@
 	assert.True(t, held(l, 7, start.Add(holdDuration-time.Second)))
 	now := start.Add(holdDuration)
 	l.Expire(now)
-	assert.False(t, held(l, 7, now), "one is let through to see whether the upstreams were mended")
+	assert.False(t, held(l, 7, now), "one attempt is let through to see whether the upstreams were fixed")
 	l.AddCrash(7, alpha, crash(20, false, now))
 	assert.True(t, held(l, 7, now.Add(2*holdDuration-time.Second)))
 	assert.False(t, held(l, 7, now.Add(2*holdDuration)))
@@ -145,12 +146,12 @@
 	}
 	assert.Equal(t, maxEntries, l.Len())
 	assert.True(t, held(l, 7, start))
-	assert.True(t, held(l, 8, start), "what is held goes last")
-	assert.Zero(t, l.State(100).Crashes, "the oldest went first")
+	assert.True(t, held(l, 8, start), "held requests are evicted last")
+	assert.Zero(t, l.State(100).Crashes, "the oldest is evicted first")
 }
 
-// A request that many send is on upstreams that crash by chance again and again, and is
-// answered in between. When it comes to be deadly it is held like any other.
+// A request that many callers send is at upstreams that crash by chance again and again, and is
+// answered in between. When it begins to crash upstreams itself, it is held like any other.
 func TestClearedCrashesDoNotMaskLaterOnes(t *testing.T) {
 	l := New()
 	for up := range version.ID(3 * maxCrashesPerRequest) {
@@ -181,8 +182,8 @@
 	assert.Empty(t, view[alpha])
 }
 
-// Whatever routers see, and in whichever order and however often they tell each other,
-// they come to know the same.
+// Whatever routers observe, and in whichever order and however often they exchange records,
+// they end up with the same state.
 func TestListsConvergeAfterExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 3
@@ -190,7 +191,7 @@
 		for i := range lists {
 			lists[i] = New()
 		}
-		tell := func(from, to int) {
+		exchange := func(from, to int) {
 			for f := range lists[from].entries {
 				w, _ := lists[from].Record(f, start)
 				lists[to].Merge(w, start)
@@ -203,7 +204,7 @@
 			case 0:
 				lists[at].Answered(f)
 			case 1:
-				tell(at, rapid.IntRange(0, routers-1).Draw(t, "to"))
+				exchange(at, rapid.IntRange(0, routers-1).Draw(t, "to"))
 			default:
 				lists[at].AddCrash(f, alpha, crash(version.ID(rapid.IntRange(1, 12).Draw(t, "upstream")), rapid.Bool().Draw(t, "early"), start))
 			}
@@ -211,7 +212,7 @@
 		for range 2 {
 			for from := range routers {
 				for to := range routers {
-					tell(from, to)
+					exchange(from, to)
 				}
 			}
 		}
@@ -228,14 +229,14 @@
 	})
 }
 
-// The sum tells apart what is held from what was cleared.
+// The checksum distinguishes a held request from a cleared one.
 func TestChecksumCoversHeldRequests(t *testing.T) {
 	a, b := New(), New()
 	for up := range version.ID(3) {
 		a.AddCrash(7, alpha, crash(10+up, false, start))
 		b.AddCrash(7, alpha, crash(20+up, false, start))
 	}
-	assert.Equal(t, a.Checksum(), b.Checksum(), "both hold it: which upstreams ended matters to neither")
+	assert.Equal(t, a.Checksum(), b.Checksum(), "both hold it, whichever upstreams crashed")
 	assert.NotZero(t, a.Checksum())
 	b.Answered(7)
 	assert.NotEqual(t, a.Checksum(), b.Checksum())
@@ -247,7 +248,7 @@
 	}
 	assert.Equal(t, a.Checksum(), b.Checksum())
 	assert.Equal(t, a.State(7), b.State(7))
-	assert.False(t, held(a, 7, start), "what is answered whole anywhere ends no upstream")
+	assert.False(t, held(a, 7, start), "a request that was answered completely anywhere crashes no upstream")
 }
 
 func TestAgeIsTakenFromSender(t *testing.T) {
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -12,51 +12,53 @@
 )
 
 const (
-	// suspectAttemptTTL is how long the end of an upstream is set down to attempts before it: its
-	// entry goes after three missing heartbeats of 1.2 s, and a little for the news.
+	// suspectAttemptTTL is how long before the end of an upstream an attempt may have ended
+	// that is still attributed to it. An upstream's entry is removed after three missing
+	// heartbeats of 1.2 s, and the update takes a little longer.
 	suspectAttemptTTL = 5 * time.Second
-	// maxSuspectAttempts bounds the doubts at one upstream: it runs at most 64 requests at once.
+	// maxSuspectAttempts bounds the suspect attempts at one upstream, which runs at most 64
+	// requests at once.
 	maxSuspectAttempts = 256
-	// endedTTL is how long an upstream's end is remembered, for attempts there whose
-	// connections have not told it yet: as long as a stream lasts.
+	// endedTTL is how long the end of an upstream is remembered, for attempts whose connections
+	// have not reported it yet: the longest duration of a stream.
 	endedTTL = 30 * time.Second
-	// probeInterval is the least time between two looks at one upstream.
+	// probeInterval is the minimum time between two probes of one upstream.
 	probeInterval = 200 * time.Millisecond
-	// announceCount is how often a router tells its news of a request, announceInterval how long
-	// after each other: where three datagrams of a hundred are lost, 27 news of a million
-	// are.
+	// announceCount is how often a router announces a change of a request, announceInterval the
+	// time between two announcements. With 3 % of datagrams lost, 27 changes in a million are
+	// lost.
 	announceCount    = 3
 	announceInterval = 100 * time.Millisecond
-	// maxAnnounced bounds the requests told in one datagram, at 60 bytes each; maxHeldRecords when
-	// two routers join all that they hold.
+	// maxAnnounced bounds the records in one datagram, at 60 bytes each; maxHeldRecords when
+	// two routers exchange all records of held requests.
 	maxAnnounced   = 64
 	maxHeldRecords = 500
-	// exchangeInterval is the least time between two such exchanges of two routers.
+	// exchangeInterval is the minimum time between two such exchanges of two routers.
 	exchangeInterval = time.Second
-	// expireInterval is how often what says nothing any more is forgotten.
+	// expireInterval is how often expired state is removed.
 	expireInterval = time.Second
 )
 
-// Tracker finds out which attempts were running when an upstream crashed, and keeps the
-// list of requests with what other routers tell.
+// Tracker finds out which attempts were running when an upstream crashed, and maintains the
+// list of requests with the updates of other routers.
 //
-// An attempt that ends without a whole answer is a doubt: the answer may have been lost,
-// cut, or given up by its caller. It becomes a crash once the upstream is known to have
-// ended. One goroutine owns a tracker.
+// An attempt that ends without a complete answer is suspect: the answer may have been lost, cut
+// off, or given up by its caller. It becomes a crash once the upstream is known to have ended.
+// One goroutine owns a tracker.
 type Tracker struct {
 	self      wire.NodeID
 	list      *List
 	suspects  map[version.ID][]suspectAttempt // by upstream
-	ended     map[version.ID]time.Time        // crashes that are known
-	left      map[version.ID]time.Time        // upstreams that were leaving, and have left
+	ended     map[version.ID]time.Time        // by crash
+	left      map[version.ID]time.Time        // upstreams that had announced to leave before they ended
 	probed    map[version.ID]time.Time
 	pending   map[fingerprint.Fingerprint]pending
-	exchanged map[wire.NodeID]time.Time // when all that is held was last told to a router
+	exchanged map[wire.NodeID]time.Time // by router: when all records of held requests were last sent to it
 	expireAt  time.Time
 	changes   []Change
 }
 
-// doubt is an attempt that ended without a whole answer.
+// suspectAttempt is an attempt that ended without a complete answer.
 type suspectAttempt struct {
 	content fingerprint.Fingerprint
 	org     version.ID
@@ -65,22 +67,22 @@
 	at      time.Time
 }
 
-// news is how often what has changed of a request is still to be told, and when next.
+// pending says how often a change of a request is still to be announced, and when next.
 type pending struct {
 	remaining int
 	due       time.Time
 }
 
-// Change is a change of what is believed of a request, for the log.
+// Change is a change in what is known of a request, for the log.
 type Change struct {
 	Content fingerprint.Fingerprint
 	Org     version.ID
-	Crashes int           // since its last whole answer
-	Held    time.Duration // how much longer it is held, 0 when it is not
-	From    wire.NodeID   // who saw it
+	Crashes int           // since its last complete answer
+	Held    time.Duration // remaining time of the hold, 0 when it is not held
+	From    wire.NodeID   // the router that observed it
 }
 
-// NewTracker returns one of a router that knows nothing.
+// NewTracker returns the tracker of a router that knows nothing yet.
 func NewTracker(self wire.NodeID) *Tracker {
 	return &Tracker{
 		self:      self,
@@ -94,31 +96,30 @@
 	}
 }
 
-// View returns a copy of what is known of requests, and whether it has changed since the
-// last call.
+// View returns a copy of what is known of requests, and whether it has changed since the last
+// call.
 func (t *Tracker) View() (View, bool) { return t.list.View() }
 
-// Changes returns what has changed since the last call.
+// Changes returns the changes since the last call.
 func (t *Tracker) Changes() []Change {
 	out := t.changes
 	t.changes = nil
 	return out
 }
 
-// Attempt is one that ended without a whole answer though it may have run.
+// Attempt is an attempt that ended without a complete answer although it may have run.
 type Attempt struct {
 	Content fingerprint.Fingerprint
 	Org     version.ID
 	Began   time.Time
 	Early   bool // its answer had no event yet
-	Lost    bool // the upstream's side ended the connection
+	Lost    bool // the upstream's side closed the connection
 }
 
-// Broke takes an attempt at an upstream. It reports whether the upstream is to be looked
-// at now.
+// Broke records an attempt at an upstream. It reports whether the upstream is to be probed now.
 func (t *Tracker) Broke(up version.ID, a Attempt, now time.Time) bool {
 	if _, left := t.left[up]; left {
-		return false // its end was planned, and says nothing of what it still ran
+		return false // a planned end is no evidence against the requests that it still ran
 	}
 	d := suspectAttempt{a.Content, a.Org, a.Early, a.Began, now}
 	if _, ended := t.ended[up]; ended {
@@ -135,13 +136,14 @@
 	return true
 }
 
-// Left takes the end of an upstream that was leaving.
+// Left records the end of an upstream that was leaving.
 func (t *Tracker) Left(up version.ID, now time.Time) { t.left[up] = now }
 
-// Ended takes the end of an upstream that was not leaving: the doubts there become
-// crashes. crash names it at all routers alike: the upstream itself where each start has a
-// name of its own. It returns the number of doubts, and false when the end was known.
-func (t *Tracker) Ended(up, crash version.ID, now time.Time) (running int, isNews bool) {
+// Ended records the end of an upstream that was not leaving, and turns its suspect attempts
+// into crashes. crash identifies the crash and is the same at all routers: the upstream's own
+// ID where each start of an upstream has a new one. It returns the number of these attempts,
+// and false when the end was already known.
+func (t *Tracker) Ended(up, crash version.ID, now time.Time) (running int, isNew bool) {
 	if _, known := t.ended[crash]; known {
 		return 0, false
 	}
@@ -159,7 +161,7 @@
 	return running, true
 }
 
-// crashed sets an upstream's crash down to an attempt that was running there.
+// addCrash attributes an upstream's crash to an attempt that was running there.
 func (t *Tracker) addCrash(up version.ID, d suspectAttempt, now time.Time) {
 	before := t.list.State(d.content).Crashes
 	if t.list.AddCrash(d.content, d.org, Crash{Upstream: up, Early: d.early, Began: d.began, At: d.at}) {
@@ -167,18 +169,19 @@
 	}
 }
 
-// Answered takes the whole answer of a request that was suspected.
+// Answered records the complete answer of a request that was suspected.
 func (t *Tracker) Answered(f fingerprint.Fingerprint, now time.Time) {
 	before := t.list.State(f).Crashes
 	if !t.list.Answered(f) {
 		return
 	}
-	told, _ := t.list.Record(f, now)
-	t.changed(f, told.Org, t.self, before, now)
+	record, _ := t.list.Record(f, now)
+	t.changed(f, record.Org, t.self, before, now)
 }
 
-// changed notes a change for the log and, when this router saw it, for all others. One
-// crash is no line, nor is its clearing: tens of sound requests are suspected with each.
+// changed records a change for the log and, when this router observed it, for all other
+// routers. A single crash and its clearing are not logged, since tens of sound requests are
+// suspected with each crash.
 func (t *Tracker) changed(f fingerprint.Fingerprint, org version.ID, from wire.NodeID, before int, now time.Time) {
 	s := t.list.State(f)
 	if max(before, s.Crashes) > 1 {
@@ -189,7 +192,7 @@
 	}
 }
 
-// Tick forgets what is old, and returns what all routers are to be told now.
+// Tick removes expired state, and returns the records to send to all routers now.
 func (t *Tracker) Tick(now time.Time) []wire.CrashRecord {
 	if !now.Before(t.expireAt) {
 		t.expireAt = now.Add(expireInterval)
@@ -198,7 +201,7 @@
 	return t.takePending(now)
 }
 
-// takePending returns the news that are due, that with most crashes first.
+// takePending returns the records that are due, those with the most crashes first.
 func (t *Tracker) takePending(now time.Time) []wire.CrashRecord {
 	var due []fingerprint.Fingerprint
 	for f, w := range t.pending {
@@ -222,11 +225,11 @@
 	return out
 }
 
-// Sum is the same at routers that hold the same requests.
+// Checksum returns a value that is the same at routers that hold the same requests.
 func (t *Tracker) Checksum() uint64 { return t.list.Checksum() }
 
-// Heard takes what another router tells. It returns an answer when the two do not hold
-// the same requests: one has just started, or there was a cut between them.
+// HandleUpdate handles another router's update. It returns a reply when the two routers do not
+// hold the same requests: one of them has just started, or there was a partition between them.
 func (t *Tracker) HandleUpdate(from wire.NodeID, c *wire.CrashUpdate, now time.Time) *wire.CrashUpdate {
 	for _, w := range c.Records {
 		f := fingerprint.Fingerprint(w.Content)
@@ -245,8 +248,8 @@
 	return t.HeldUpdate(now)
 }
 
-// All returns all that is held, for a router that has just started or holds something
-// else.
+// HeldUpdate returns all records of held requests, for a router that has just started or holds
+// different requests.
 func (t *Tracker) HeldUpdate(now time.Time) *wire.CrashUpdate {
 	held := t.list.HeldRecords(now)
 	return &wire.CrashUpdate{Records: held[:min(len(held), maxHeldRecords)], HasChecksum: true, Checksum: t.list.Checksum()}
@@ -268,15 +271,15 @@
 	maps.DeleteFunc(t.exchanged, func(_ wire.NodeID, at time.Time) bool { return now.Sub(at) >= exchangeInterval })
 }
 
-// HeldRequest is a request that is held, for status pages.
+// HeldRequest is a held request, for status pages.
 type HeldRequest struct {
 	Fingerprint  string `json:"fingerprint"`
 	Organisation string `json:"organisation"`
 	Crashes      int    `json:"crashes"`
-	HeldMS       int64  `json:"held_ms"` // how much longer
+	HeldMS       int64  `json:"held_ms"` // remaining time of the hold
 }
 
-// Held returns the requests that are held, the latest crash first.
+// Held returns the held requests, the latest crash first.
 func (t *Tracker) Held(names map[version.ID]string, now time.Time) []HeldRequest {
 	out := []HeldRequest{}
 	for _, w := range t.list.HeldRecords(now) {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -68,20 +68,20 @@
 
 // release frees the key of a request that was refused before it ran.
 func (n *Node) release(id uint64) {
-	if ask := n.heldClaims[id]; ask != nil {
+	if proposal := n.heldClaims[id]; proposal != nil {
 		delete(n.heldClaims, id)
-		n.sendRelease(ask)
+		n.sendRelease(proposal)
 	}
 }
 
-func (n *Node) sendRelease(ask *claim.Proposal) {
-	c := ask.Claim()
+func (n *Node) sendRelease(proposal *claim.Proposal) {
+	c := proposal.Claim()
 	c.Release = true
-	n.sendToWitnesses(ask, c)
+	n.sendToWitnesses(proposal, c)
 }
 
-func (n *Node) sendToWitnesses(ask *claim.Proposal, c wire.Claim) {
-	for _, id := range ask.Group() {
+func (n *Node) sendToWitnesses(proposal *claim.Proposal, c wire.Claim) {
+	for _, id := range proposal.Group() {
 		d := n.outbox.To(id)
 		d.Claims = append(d.Claims, c)
 	}
@@ -101,15 +101,15 @@
 // finish ends a running request. Its key stays held, since the request may have run.
 func (n *Node) finish(in Finish, now time.Time) {
 	n.entry.Finish(in.ID, in.Units, in.Sample, now)
-	ask := n.heldClaims[in.ID]
-	if ask == nil {
+	proposal := n.heldClaims[in.ID]
+	if proposal == nil {
 		return
 	}
 	delete(n.heldClaims, in.ID)
 	if in.Answered {
-		c := ask.Claim()
+		c := proposal.Claim()
 		c.Done = true
-		n.sendToWitnesses(ask, c)
+		n.sendToWitnesses(proposal, c)
 	}
 }
 
@@ -142,22 +142,22 @@
 // markDrain records that an upstream is leaving. First-hand information is announced to others
 // as long as it holds, second-hand information for a few seconds. A drain that is not
 // persistent expires.
-func (n *Node) markDrain(id version.ID, how drain, now time.Time) {
+func (n *Node) markDrain(id version.ID, info drain, now time.Time) {
 	d := n.drains[id]
 	if d == nil {
 		d = &drain{learnedAt: now}
 		n.drains[id] = d
 		n.setDrain(id, true)
 		n.event("upstream-leaving", uint64(id), "")
-		if how.firstHand {
+		if info.firstHand {
 			for _, peer := range n.members.Random(pushFanout) {
 				n.outbox.To(peer)
 			}
 		}
 	}
 	d.renewedAt = now
-	d.firstHand = d.firstHand || how.firstHand
-	d.persistent = d.persistent || how.persistent
+	d.firstHand = d.firstHand || info.firstHand
+	d.persistent = d.persistent || info.persistent
 }
 
 func (n *Node) clearDrain(id version.ID) {
--- a/internal/core/sched/account.go
+++ b/internal/core/sched/account.go
@@ -50,11 +50,11 @@
 
 // recordEarned records service earned by slots that were held under this scheduler. What a
 // router served before its first report to this scheduler says nothing about a slot's rate.
-func (a *account) recordEarned(told map[version.ID]uint64, in *wire.Row) {
-	if last, known := told[in.Org]; known && in.NormService > last {
+func (a *account) recordEarned(lastReported map[version.ID]uint64, in *wire.Row) {
+	if last, known := lastReported[in.Org]; known && in.NormService > last {
 		a.earned += float64(in.NormService-last) / ledger.Scale
 	}
-	told[in.Org] = in.NormService
+	lastReported[in.Org] = in.NormService
 }
 
 // addHeld adds n to the slots held, after accruing the slot-seconds until now.
--- a/internal/core/sched/plan.go
+++ b/internal/core/sched/plan.go
@@ -118,11 +118,11 @@
 }
 
 func (p *Pool) minServed(accounts []*account) float64 {
-	least := p.served(accounts[0])
+	lowest := p.served(accounts[0])
 	for _, a := range accounts[1:] {
-		least = min(least, p.served(a))
+		lowest = min(lowest, p.served(a))
 	}
-	return least
+	return lowest
 }
 
 // next returns the account with the lowest score that has a request without a grant and a free
