--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -155,7 +155,7 @@
 	return wire.VerdictGranted
 }
 
-// Tick removes keys that no witness would accept any more.
+// Tick removes keys that no witness would still accept.
 func (w *Witness) Tick(now time.Time) {
 	for k, h := range w.keys {
 		if now.After(h.until) {
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -93,7 +93,7 @@
 	pools        map[version.ID]*poolState
 	normService  map[version.ID]uint64
 	announced    map[version.ID]uint64 // normService at the last call of Served
-	drained      map[version.ID]bool
+	draining     map[version.ID]bool
 	started      []Start
 	refused      []Refusal
 	Counts       Counts
@@ -119,7 +119,7 @@
 		pools:        map[version.ID]*poolState{},
 		normService:  map[version.ID]uint64{},
 		announced:    map[version.ID]uint64{},
-		drained:      map[version.ID]bool{},
+		draining:     map[version.ID]bool{},
 	}
 }
 
@@ -204,7 +204,7 @@
 	o := e.ver.Organisations[org]
 	for _, id := range q.pools {
 		for _, u := range e.ver.Pools[id].Upstreams {
-			if o.Allows(u.Place) && !u.Closed() && !e.drained[u.ID] {
+			if o.Allows(u.Place) && !u.Closed() && !e.draining[u.ID] {
 				return true
 			}
 		}
@@ -307,7 +307,7 @@
 
 // Drain marks an upstream as leaving or not. Nothing new is started at one that is leaving.
 func (e *Entry) Drain(id version.ID, drain bool) {
-	e.drained[id] = drain
+	e.draining[id] = drain
 	if drain {
 		for _, p := range e.pools {
 			p.dropCredits(id)
--- a/internal/core/entry/pool.go
+++ b/internal/core/entry/pool.go
@@ -24,7 +24,7 @@
 	answeredAt  time.Time // last reply, or the first report without one
 	saturated   bool
 
-	changed       map[version.ID]uint32 // by organisation: its row changed after this report
+	changedRows   map[version.ID]uint32 // by organisation: its row changed after this report
 	changedHeld   map[heldKey]uint32    // its held count changed after this report
 	progress      map[version.ID]bool
 	lastProgress  time.Time
@@ -46,7 +46,7 @@
 	if p == nil {
 		p = &poolState{
 			id:          id,
-			changed:     map[version.ID]uint32{},
+			changedRows: map[version.ID]uint32{},
 			changedHeld: map[heldKey]uint32{},
 			progress:    map[version.ID]bool{},
 			held:        map[version.ID]map[version.ID]uint32{},
@@ -58,7 +58,7 @@
 	return p
 }
 
-func (p *poolState) markRow(org version.ID) { p.changed[org] = p.seq }
+func (p *poolState) markRow(org version.ID) { p.changedRows[org] = p.seq }
 
 func (p *poolState) requireFull() { p.needFull = true }
 
@@ -163,7 +163,7 @@
 func (e *Entry) mayRun(f *flight, pool, up version.ID) bool {
 	u := e.ver.Upstreams[up]
 	app := e.app(f.Request)
-	if u == nil || app == nil || u.Pool != pool || u.Closed() || e.drained[up] {
+	if u == nil || app == nil || u.Pool != pool || u.Closed() || e.draining[up] {
 		return false
 	}
 	return u.Service == app.Service && e.ver.Organisations[f.Org].Allows(u.Place)
@@ -197,18 +197,18 @@
 		p.scheduleReport(now) // changes that could wait before are urgent now
 	}
 	p.saturated = g.Saturated
-	asked := e.startedAt.Add(time.Duration(g.ReportSentMS) * time.Millisecond)
+	reportSent := e.startedAt.Add(time.Duration(g.ReportSentMS) * time.Millisecond)
 	for _, grant := range g.List {
 		if grant.No != p.acked+1 {
 			continue
 		}
 		p.acked++
 		p.scheduleReport(now.Add(ackReportDelay))
-		e.useGrant(p, grant, now.Sub(asked) >= leaseOf(grant), now)
+		e.useGrant(p, grant, now.Sub(reportSent) >= leaseOf(grant), now)
 	}
 	if g.Saturated {
 		p.dropAllCredits()
-	} else if to := asked.Add(sched.CreditLease); to.After(p.creditsUntil) {
+	} else if to := reportSent.Add(sched.CreditLease); to.After(p.creditsUntil) {
 		p.creditsUntil = to
 	}
 }
@@ -224,9 +224,9 @@
 
 // dropAnswered forgets the changes that were part of a report the scheduler has received.
 func (p *poolState) dropAnswered() {
-	for org, at := range p.changed {
+	for org, at := range p.changedRows {
 		if at < p.answeredSeq {
-			delete(p.changed, org)
+			delete(p.changedRows, org)
 		}
 	}
 	for k, at := range p.changedHeld {
--- a/internal/core/entry/report.go
+++ b/internal/core/entry/report.go
@@ -38,7 +38,7 @@
 
 func (e *Entry) poolIDs() []version.ID { return slices.Sorted(maps.Keys(e.pools)) }
 
-// followScheduler switches to a new scheduler: everything is reported anew, and unused grants
+// followScheduler switches to a new scheduler: everything is reported again, and unused grants
 // of the former scheduler are void.
 func (p *poolState) followScheduler(id wire.NodeID, now time.Time) {
 	if id == p.scheduler {
@@ -55,12 +55,12 @@
 }
 
 func (p *poolState) busy() bool {
-	return len(p.held) > 0 || len(p.credits) > 0 || len(p.changed) > 0
+	return len(p.held) > 0 || len(p.credits) > 0 || len(p.changedRows) > 0
 }
 
 // unsent reports whether rows have changed since the last report was sent.
 func (p *poolState) unsent() bool {
-	for _, at := range p.changed {
+	for _, at := range p.changedRows {
 		if at == p.seq {
 			return true
 		}
@@ -71,7 +71,7 @@
 // reportReasons says why a report is due.
 type reportReasons struct {
 	progressDue bool // service was received in a saturated pool
-	full        bool // everything is reported anew
+	full        bool // everything is reported again
 	due         bool
 }
 
@@ -83,7 +83,7 @@
 		progressDue: p.saturated && len(p.progress) > 0 && now.Sub(p.lastProgress) >= progressInterval,
 		full:        p.needFull || (p.busy() && now.Sub(p.lastFull) >= fullReportInterval),
 	}
-	resend := p.seq > p.answeredSeq && len(p.changed) > 0 && since >= delayFor(urgent, resendInterval, idleResendInterval)
+	resend := p.seq > p.answeredSeq && len(p.changedRows) > 0 && since >= delayFor(urgent, resendInterval, idleResendInterval)
 	keepAlive := (waits && since >= keepAliveInterval) || (len(p.credits) > 0 && since >= creditKeepAliveInterval)
 	scheduled := !p.due.IsZero() && !now.Before(p.due)
 	overdue := p.unsent() && since >= delayFor(urgent, ackReportDelay, idleReportDelay)
@@ -156,19 +156,19 @@
 	set := map[version.ID]bool{}
 	if w.full {
 		for org := range p.held {
-			p.changed[org] = p.seq
+			p.changedRows[org] = p.seq
 		}
 		for _, q := range e.queues {
 			if q.len() > 0 && slices.Contains(q.pools, p.id) {
-				p.changed[q.key.org] = p.seq
+				p.changedRows[q.key.org] = p.seq
 			}
 		}
 		if len(p.credits) > 0 {
-			p.changed[0] = p.seq
+			p.changedRows[0] = p.seq
 		}
 		p.markAllHeld()
 	}
-	for org := range p.changed {
+	for org := range p.changedRows {
 		set[org] = true
 	}
 	if w.progressDue {
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -13,7 +13,7 @@
 // many start at once, each knows few others at first. A seed replies with the changes since its
 // previous reply. So a common start of the fleet costs each router one update per other router,
 // not one per request. With full replies, sixteen times from each of three seeds, the first 15
-// s of 195 routers took 0.10 GB between places.
+// seconds of 195 routers took 0.10 GB between places.
 
 // join is a table's state of joining, both as the router that joins and as a seed.
 type join struct {
--- a/internal/core/member/live.go
+++ b/internal/core/member/live.go
@@ -39,7 +39,7 @@
 }
 
 // maxChangedIDs is the number of changes up to which a list is patched; after more it is built
-// anew.
+// from scratch.
 const maxChangedIDs = 64
 
 // changed records a change of a router's state.
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -15,7 +15,7 @@
 )
 
 // The list of live routers is patched with changes. After any sequence of events it equals a
-// list built anew.
+// list built from scratch.
 func TestPatchedLiveListEqualsFullList(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	now := t0
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -30,7 +30,7 @@
 	poolCopyInterval        = time.Second
 	poolCheckInterval       = 200 * time.Millisecond
 	resignTimeout           = 10 * time.Second // without reports, when another router is the scheduler
-	idlePoolTTL             = 10 * time.Minute // without reports; a scheduler that starts anew grants nothing while it settles
+	idlePoolTTL             = 10 * time.Minute // without reports; a scheduler that starts again grants nothing while it settles
 	peerWaitTimeout         = 3 * time.Second
 	fetchRetryInterval      = time.Second
 	drainTTL                = time.Minute
@@ -232,7 +232,7 @@
 		n.outbox.To(d.From)
 	}
 	if d.Version != nil {
-		n.offerVersion(d.From, *d.Version, now)
+		n.fetchIfNewer(d.From, *d.Version, now)
 	}
 	for _, id := range d.DrainingUpstreams {
 		n.markDrain(id, drain{}, now)
@@ -300,8 +300,8 @@
 	n.event("version-accepted", v.Number.Revision, "")
 }
 
-// offerVersion fetches a version that a peer has if it is newer than the one in force.
-func (n *Node) offerVersion(from wire.NodeID, num version.Number, now time.Time) {
+// fetchIfNewer fetches a version that a peer has if it is newer than the one in force.
+func (n *Node) fetchIfNewer(from wire.NodeID, num version.Number, now time.Time) {
 	if num.Revision == 0 || n.rejected[num] {
 		return
 	}
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -97,7 +97,7 @@
 
 func (n *Node) takeOver(pool version.ID, now time.Time) *hostedPool {
 	p := &hostedPool{Pool: sched.New(pool, n.ver, n.led, n.set.Sched, now)}
-	p.Adopt(n.offsetList(pool), now)
+	p.AdoptOffsets(n.offsetList(pool), now)
 	for id := range n.drains {
 		p.Drain(id, true)
 	}
@@ -183,8 +183,8 @@
 	}
 	to := map[wire.NodeID]map[version.ID]wire.LedgerRow{}
 	for _, pool := range n.entry.SaturatedPools() {
-		for _, owner := range n.schedulersOf(pool) {
-			n.addLedgerRows(to, owner, pool, rows)
+		for _, scheduler := range n.schedulersOf(pool) {
+			n.addLedgerRows(to, scheduler, pool, rows)
 		}
 	}
 	delete(to, n.set.ID)
@@ -271,6 +271,6 @@
 		m[o.Org] = max(m[o.Org], o.NormService)
 	}
 	if p := n.pools[s.Pool]; p != nil {
-		p.Adopt(s.Offsets, now)
+		p.AdoptOffsets(s.Offsets, now)
 	}
 }
--- a/internal/core/quarantine/crash.go
+++ b/internal/core/quarantine/crash.go
@@ -20,8 +20,8 @@
 const crashTolerance = 20 * time.Millisecond
 
 // mergeCrash adds a crash to the known ones, which are sorted by time, and reports whether that
-// changed anything. Of a crash that is known already, the first record stays, so that routers
-// that exchange records repeatedly converge.
+// changed anything. Of a crash that is known already, the times recorded first stay, so that
+// routers that exchange records repeatedly converge.
 func mergeCrash(known []Crash, c Crash) ([]Crash, bool) {
 	for i := range known {
 		if known[i].Upstream != c.Upstream {
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -50,7 +50,7 @@
 	list      *List
 	suspects  map[version.ID][]suspectAttempt // by upstream
 	ended     map[version.ID]time.Time        // by crash
-	left      map[version.ID]time.Time        // upstreams that had announced to leave before they ended
+	left      map[version.ID]time.Time        // upstreams that ended as planned
 	probed    map[version.ID]time.Time
 	pending   map[fingerprint.Fingerprint]pending
 	exchanged map[wire.NodeID]time.Time // by router: when all records of held requests were last sent to it
@@ -196,7 +196,7 @@
 func (t *Tracker) Tick(now time.Time) []wire.CrashRecord {
 	if !now.Before(t.expireAt) {
 		t.expireAt = now.Add(expireInterval)
-		t.forget(now)
+		t.removeExpired(now)
 	}
 	return t.takePending(now)
 }
@@ -255,7 +255,7 @@
 	return &wire.CrashUpdate{Records: held[:min(len(held), maxHeldRecords)], HasChecksum: true, Checksum: t.list.Checksum()}
 }
 
-func (t *Tracker) forget(now time.Time) {
+func (t *Tracker) removeExpired(now time.Time) {
 	t.list.Expire(now)
 	for up, list := range t.suspects {
 		list = slices.DeleteFunc(list, func(d suspectAttempt) bool { return now.Sub(d.at) >= suspectAttemptTTL })
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -169,10 +169,10 @@
 	n.event("upstream-back", uint64(id), "")
 }
 
-func (n *Node) setDrain(id version.ID, drain bool) {
-	n.entry.Drain(id, drain)
+func (n *Node) setDrain(id version.ID, draining bool) {
+	n.entry.Drain(id, draining)
 	for _, p := range n.pools {
-		p.Drain(id, drain)
+		p.Drain(id, draining)
 	}
 }
 
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -318,8 +318,8 @@
 	return out
 }
 
-// Adopt merges offsets copied from a former scheduler; the larger value wins.
-func (p *Pool) Adopt(offsets []wire.Offset, now time.Time) {
+// AdoptOffsets merges offsets copied from a former scheduler; the larger value wins.
+func (p *Pool) AdoptOffsets(offsets []wire.Offset, now time.Time) {
 	for _, o := range offsets {
 		a := p.account(o.Org, now)
 		a.offset = max(a.offset, float64(o.NormService)/ledger.Scale)
--- a/internal/core/wire/snapshot.go
+++ b/internal/core/wire/snapshot.go
@@ -33,7 +33,7 @@
 }
 
 // EngineSnapshot is the prompt parts that one engine is believed to have cached, the most
-// recently used first, and the rest of its ejection after failures.
+// recently used first, and the remaining time of its ejection after failures.
 type EngineSnapshot struct {
 	_           struct{} `cbor:",toarray"`
 	Upstream    version.ID
