--- a/cmd/silverswitchd/main.go
+++ b/cmd/silverswitchd/main.go
@@ -89,7 +89,7 @@
 	if set.Kind == process.KindStore {
 		return process.StartRouted(set, platform.Deployment(set.Platform), log)
 	}
-	return process.Start(set, log)
+	return process.StartApp(set, log)
 }
 
 // logTime is the format of a line's time: to the millisecond, so that lines of
--- a/internal/process/pace_test.go
+++ b/internal/process/acceptdelay_test.go
@@ -19,12 +19,12 @@
 // Load pattern: a flood at a small router, which refuses requests as fast as they come and
 // reads no datagram. It accepts the next caller when control was read, and in any case
 // after a while.
-func TestCallersAreAcceptedNoFasterThanControlIsRead(t *testing.T) {
+func TestAcceptIsDelayedWhileControlIsBehind(t *testing.T) {
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {})
 	var looks atomic.Int64
 	for name, behindFor := range map[string]int64{"until control is read": 3, "for ever": 1 << 40} {
 		looks.Store(0)
-		e, err := newEdge("127.0.0.1:0", ok, 0, func() bool { return looks.Add(1) <= behindFor }, zerolog.Nop())
+		e, err := newCallerServer("127.0.0.1:0", ok, 0, func() bool { return looks.Add(1) <= behindFor }, zerolog.Nop())
 		require.NoError(t, err, name)
 		res, err := http.Get("http://" + e.listener.Addr().String())
 		require.NoError(t, err, name)
@@ -35,7 +35,7 @@
 }
 
 // A datagram that lies unread is seen, and not taken.
-func TestUnreadDatagramIsSeen(t *testing.T) {
+func TestWaitingReportsUnreadDatagram(t *testing.T) {
 	s, err := conn.NewSealer("a-secret-for-tests-only", "route")
 	require.NoError(t, err)
 	a, b := standin.FreeAddr(), standin.FreeAddr()
--- a/internal/process/path_test.go
+++ b/internal/process/app_e2e_test.go
@@ -36,9 +36,9 @@
 	t        testing.TB
 	platform *standin.Platform
 	engines  []*standin.Engine
-	counter  *standin.Plain
+	plain    *standin.Plain
 	files    map[string]string
-	daemons  []*Daemon
+	daemons  []*AppDaemon
 	revision uint64
 }
 
@@ -64,7 +64,7 @@
 
 // newTestFleetOf is newTestFleet with engines that are served in another way.
 func newTestFleetOf(t testing.TB, serveEngine func(http.Handler) string) *testFleet {
-	f := &testFleet{t: t, platform: standin.NewPlatform(), counter: &standin.Plain{BreakOn: "/break"}}
+	f := &testFleet{t: t, platform: standin.NewPlatform(), plain: &standin.Plain{BreakOn: "/break"}}
 	var text strings.Builder
 	for i, p := range places {
 		fmt.Fprintf(&text, "[place %s]\nregion = r\n", p)
@@ -72,7 +72,7 @@
 		f.engines = append(f.engines, e)
 		fmt.Fprintf(&text, "[upstream e%d]\nservice = model\nplace = %s\naddress = %s\nslots = 8\n", i, p, serveEngine(e.Handler()))
 	}
-	fmt.Fprintf(&text, "[service model]\n[service counter]\nkind = plain\n[upstream c]\nservice = counter\nplace = p1\naddress = %s\nslots = 8\n", serve(t, f.counter.Handler()))
+	fmt.Fprintf(&text, "[service model]\n[service counter]\nkind = plain\n[upstream c]\nservice = counter\nplace = p1\naddress = %s\nslots = 8\n", serve(t, f.plain.Handler()))
 	f.files = map[string]string{
 		version.FleetFile:          text.String(),
 		"templates/t.ini":          "[template]\nname = t\nparameters = places\n[organisation]\nplaces = ${places}\n[application chat]\nservice = model\nidempotent = true\ntimeout = 10s\n[application once]\nservice = model\ntimeout = 10s\n[application order]\nservice = counter\npriority = urgent\nunit = answered\ntimeout = 5s\n",
@@ -103,20 +103,20 @@
 			peer, places[i], callers, callers, standin.FreeAddr(), strings.Join(peers, ","), testSecret, plat)
 		set, err := ParseSettings("test", text)
 		require.NoError(f.t, err)
-		d, err := Start(set, zerolog.Nop())
+		d, err := StartApp(set, zerolog.Nop())
 		require.NoError(f.t, err)
 		f.daemons = append(f.daemons, d)
 		f.t.Cleanup(d.close)
 	}
 	for _, d := range f.daemons {
 		require.Eventually(f.t, func() bool {
-			v := d.drv.View()
-			return d.drv.Ready() && v != nil && alive(v.Members) == 2
+			v := d.ctrl.View()
+			return d.ctrl.Ready() && v != nil && memberCount(v.Members) == 2
 		}, 20*time.Second, 20*time.Millisecond)
 	}
 }
 
-func alive[M any](members []M) int { return len(members) }
+func memberCount[M any](members []M) int { return len(members) }
 
 // publish packs the files under the next revision.
 func (f *testFleet) publish() {
@@ -128,7 +128,7 @@
 
 func (f *testFleet) url(router int) string { return f.daemons[router].set.Public }
 
-type answer struct {
+type response struct {
 	status  int
 	kind    outcome.Kind
 	reason  string
@@ -139,10 +139,10 @@
 }
 
 // send makes one call and reads all of it; redirects are not followed.
-func send(method, url, key, body string, header map[string]string) answer {
+func send(method, url, key, body string, header map[string]string) response {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	for k, v := range header {
@@ -151,23 +151,23 @@
 	c := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Timeout: 30 * time.Second}
 	res, err := c.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
-	return answer{res.StatusCode, outcome.Kind(res.Header.Get(outcome.HeaderOutcome)), res.Header.Get(outcome.HeaderReason), res.Header, string(raw), res.Trailer, err}
+	return response{res.StatusCode, outcome.Kind(res.Header.Get(outcome.HeaderOutcome)), res.Header.Get(outcome.HeaderReason), res.Header, string(raw), res.Trailer, err}
 }
 
 func chatBody(app, text string, stream bool, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, app, stream, tokens, text)
 }
 
-func (f *testFleet) chat(router int, app, text string, stream bool, tokens int) answer {
+func (f *testFleet) chat(router int, app, text string, stream bool, tokens int) response {
 	return send(http.MethodPost, f.url(router)+"/v1/chat/completions", "wide-key", chatBody(app, text, stream, tokens), nil)
 }
 
 // events checks a stream's events: one of each position, in order, to the end.
-func events(t require.TestingT, a answer, text string, tokens int) {
+func requireStreamEvents(t require.TestingT, a response, text string, tokens int) {
 	require.NoError(t, a.err)
 	require.Equal(t, outcome.Answered, outcome.Kind(a.trailer.Get(outcome.HeaderOutcome)))
 	got := strings.Split(strings.TrimSpace(a.body), "\n\n")
@@ -188,7 +188,7 @@
 			defer wg.Done()
 			text := fmt.Sprintf("question %d", i)
 			if i%2 == 0 {
-				events(assertT{t}, f.chat(i%3, "chat", text, true, 15), text, 15)
+				requireStreamEvents(assertT{t}, f.chat(i%3, "chat", text, true, 15), text, 15)
 				return
 			}
 			a := f.chat(i%3, "chat", text, false, 15)
@@ -210,11 +210,11 @@
 	for _, e := range f.engines {
 		e.CutAt = 7
 	}
-	events(t, f.chat(0, "chat", "cut", true, 20), "cut", 20)
-	assert.Positive(t, f.counterValue(0, "silverswitch_streams_resumed"))
+	requireStreamEvents(t, f.chat(0, "chat", "cut", true, 20), "cut", 20)
+	assert.Positive(t, f.metricValue(0, "silverswitch_streams_resumed"))
 }
 
-func (f *testFleet) counterValue(router int, name string) int {
+func (f *testFleet) metricValue(router int, name string) int {
 	a := send(http.MethodGet, "http://"+f.daemons[router].set.Operator+"/metrics", "", "", nil)
 	for _, line := range strings.Split(a.body, "\n") {
 		var v int
@@ -247,7 +247,7 @@
 	assert.NotContains(t, a.body, "re:")
 }
 
-func TestPlaces(t *testing.T) {
+func TestRequestsRunOnlyInAllowedPlaces(t *testing.T) {
 	f := newTestFleet(t)
 	a := send(http.MethodPost, f.url(2)+"/v1/chat/completions", "narrow-key", chatBody("chat", "x", false, 2), nil)
 	assert.Equal(t, http.StatusTemporaryRedirect, a.status)
@@ -267,9 +267,9 @@
 	return map[string]string{"Idempotency-Key": uuid.Must(uuid.NewV7()).String()}
 }
 
-func (f *testFleet) runsOf(key string) int {
+func (f *testFleet) executions(key string) int {
 	n := 0
-	for _, e := range f.counter.Journal.Entries() {
+	for _, e := range f.plain.Journal.Entries() {
 		if e.Key == key {
 			n++
 		}
@@ -277,11 +277,11 @@
 	return n
 }
 
-func (f *testFleet) order(router int, path string, key map[string]string) answer {
+func (f *testFleet) order(router int, path string, key map[string]string) response {
 	return send(http.MethodPost, f.url(router)+"/v1/apps/order"+path, "wide-key", `{"boxes":2}`, key)
 }
 
-func TestOrderRunsAtMostOnce(t *testing.T) {
+func TestRequestWithIdempotencyKeyRunsAtMostOnce(t *testing.T) {
 	f := newTestFleet(t)
 	time.Sleep(5500 * time.Millisecond) // witnesses vouch for keys minted 5 s after their start
 	key := newKey()
@@ -292,13 +292,13 @@
 		assert.Equal(t, outcome.Unknown, again.kind)
 		assert.Equal(t, http.StatusConflict, again.status)
 	}
-	assert.Equal(t, 1, f.runsOf(key["Idempotency-Key"]))
+	assert.Equal(t, 1, f.executions(key["Idempotency-Key"]))
 
 	broken := newKey()
 	a := f.order(1, "/break", broken)
 	assert.Equal(t, outcome.Unknown, a.kind, "it ran, and the connection died after the write")
 	assert.Equal(t, outcome.Unknown, f.order(2, "/break", broken).kind)
-	assert.Equal(t, 1, f.runsOf(broken["Idempotency-Key"]))
+	assert.Equal(t, 1, f.executions(broken["Idempotency-Key"]))
 
 	var wg sync.WaitGroup
 	raced := newKey()
@@ -307,15 +307,15 @@
 		go func() { defer wg.Done(); f.order(i%3, "/orders", raced) }()
 	}
 	wg.Wait()
-	assert.LessOrEqual(t, f.runsOf(raced["Idempotency-Key"]), 1)
+	assert.LessOrEqual(t, f.executions(raced["Idempotency-Key"]), 1)
 
 	old := f.order(0, "/orders", map[string]string{"Idempotency-Key": "00000000-0000-7000-8000-000000000001"})
 	assert.Equal(t, string("key-outside-window"), old.reason)
 }
 
-func TestLeavingUpstreamIsLeft(t *testing.T) {
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	f := newTestFleet(t)
-	addr := f.daemons[0].drv.Version().Upstreams[version.IDOf("upstream/e0")].Address
+	addr := f.daemons[0].ctrl.Version().Upstreams[version.IDOf("upstream/e0")].Address
 	a := send(http.MethodPost, "http://"+addr+"/leave", "", "", nil)
 	require.Equal(t, http.StatusOK, a.status)
 	for i := range 30 {
@@ -325,12 +325,12 @@
 	assert.Empty(t, f.engines[0].Journal.Entries())
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	f := newTestFleet(t)
 	chat := f.url(0) + "/v1/chat/completions"
 	huge := strings.Repeat("x", 70000)
 	cases := map[string]struct {
-		a      answer
+		a      response
 		status int
 		reason string
 	}{
@@ -366,7 +366,7 @@
 
 // Before the witnesses have ruled on a key, an earlier call with it may have run:
 // no refusal may say otherwise.
-func TestRefusalBeforeTheWitnessesLeavesAKeyUnknown(t *testing.T) {
+func TestRefusalBeforeWitnessRulingReportsUnknownOutcome(t *testing.T) {
 	f := newTestFleet(t)
 	huge := strings.Repeat("x", 70000)
 	with := send("POST", f.url(0)+"/v1/apps/order/orders", "wide-key", huge, newKey())
@@ -392,7 +392,7 @@
 	return status
 }
 
-func TestNotRunSaysWhenToComeBackAtOnce(t *testing.T) {
+func TestRefusalWithoutCapacityCarriesRetryAfter(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
 		e.Gap = 50 * time.Millisecond
@@ -418,7 +418,7 @@
 	require.NoError(t, err)
 	f.files["templates/t.ini"] = strings.Replace(f.files["templates/t.ini"], "[application chat]", "[application talk]", 1)
 	f.publish()
-	f.eventually(2)
+	f.waitForRevision(2)
 	// An invalid version amid valid ones, and the service restored to an older one.
 	good := f.files["templates/t.ini"]
 	f.files["templates/t.ini"] = "broken"
@@ -426,28 +426,28 @@
 	f.platform.Publish(ValueConfiguration, old)
 	time.Sleep(300 * time.Millisecond)
 	for _, d := range f.daemons {
-		assert.Equal(t, uint64(2), d.drv.Version().Number.Revision)
+		assert.Equal(t, uint64(2), d.ctrl.Version().Number.Revision)
 	}
 	f.files["templates/t.ini"] = good
 	f.publish()
-	f.eventually(4)
+	f.waitForRevision(4)
 	assert.Equal(t, outcome.Answered, f.chat(1, "talk", "x", false, 1).kind)
 	// The service goes down: a router that restarts empty gets it from its peers.
 	f.platform.SetDown(true)
 	set := f.daemons[2].set
 	f.daemons[2].close()
-	d, err := Start(set, zerolog.Nop())
+	d, err := StartApp(set, zerolog.Nop())
 	require.NoError(t, err)
 	t.Cleanup(d.close)
 	f.daemons[2] = d
-	f.eventually(4)
+	f.waitForRevision(4)
 }
 
-func (f *testFleet) eventually(revision uint64) {
+func (f *testFleet) waitForRevision(revision uint64) {
 	f.t.Helper()
 	for _, d := range f.daemons {
 		require.Eventually(f.t, func() bool {
-			v := d.drv.Version()
+			v := d.ctrl.Version()
 			return v != nil && v.Number.Revision == revision
 		}, 20*time.Second, 20*time.Millisecond)
 	}
@@ -464,7 +464,7 @@
 		go func() {
 			defer wg.Done()
 			text := fmt.Sprintf("stay %d", i)
-			events(assertT{t}, f.chat(i%3, "chat", text, true, 100), text, 100)
+			requireStreamEvents(assertT{t}, f.chat(i%3, "chat", text, true, 100), text, 100)
 		}()
 	}
 	time.Sleep(700 * time.Millisecond)
@@ -475,7 +475,7 @@
 	wg.Wait()
 }
 
-func TestCallerThatGoesAwayFreesItsSlot(t *testing.T) {
+func TestDisconnectedCallerFreesItsSlot(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
 		e.Gap = 100 * time.Millisecond
--- a/internal/process/driver.go
+++ b/internal/process/appcontroller.go
@@ -22,7 +22,7 @@
 // Driver runs a core.Node: it is the one goroutine that touches control state,
 // and the adapter through which all others ask it. It implements
 // request.Control.
-type Driver struct {
+type AppController struct {
 	id     wire.NodeID
 	node   *core.Node // control goroutine only
 	place  string
@@ -32,11 +32,11 @@
 	nextID atomic.Uint64
 	controlLoop
 
-	version atomic.Pointer[version.Version]
-	held    heldRequests
-	view    atomic.Pointer[core.View]
-	watches atomic.Bool
-	ready   atomic.Bool
+	version     atomic.Pointer[version.Version]
+	quarantined quarantineSnapshot
+	view        atomic.Pointer[core.View]
+	watches     atomic.Bool
+	ready       atomic.Bool
 
 	tickets map[uint64]*ticketState // control goroutine only
 	ticks   int                     // control goroutine only
@@ -47,10 +47,10 @@
 	running bool
 }
 
-// NewDriver returns a driver that is not running yet.
-func NewDriver(set core.Settings, route *conn.Route, sealer *conn.Sealer, log zerolog.Logger) *Driver {
+// NewAppController returns a driver that is not running yet.
+func NewAppController(set core.Settings, route *conn.Route, sealer *conn.Sealer, log zerolog.Logger) *AppController {
 	now := clock.System.Now()
-	d := &Driver{
+	d := &AppController{
 		id:      set.ID,
 		node:    core.New(set, now),
 		place:   set.Place,
@@ -66,15 +66,15 @@
 }
 
 // Run is the control goroutine. It ends with the context.
-func (d *Driver) Run(ctx context.Context) { d.run(ctx, core.TickEvery, d, d.log) }
+func (d *AppController) Run(ctx context.Context) { d.run(ctx, core.TickEvery, d, d.log) }
 
-func (d *Driver) receive(m *wire.Datagram, now time.Time) {
+func (d *AppController) receive(m *wire.Datagram, now time.Time) {
 	d.node.Step(core.Receive{Datagram: m}, now)
 }
 
-func (d *Driver) flush(now time.Time) { d.act(d.node.Ready(now)) }
+func (d *AppController) flush(now time.Time) { d.handleOutputs(d.node.Ready(now)) }
 
-func (d *Driver) tick(now time.Time) {
+func (d *AppController) tick(now time.Time) {
 	d.ticks++
 	if d.ticks%progressTicks == 0 {
 		for id, t := range d.tickets {
@@ -88,21 +88,21 @@
 		d.ready.Store(v.Ready)
 	}
 	d.node.Tick(now)
-	d.held.publish(d.node.Quarantine())
+	d.quarantined.publish(d.node.Quarantine())
 }
 
 // act carries out the core's outputs.
-func (d *Driver) act(outs []core.Output) {
+func (d *AppController) handleOutputs(outs []core.Output) {
 	for _, o := range outs {
 		switch o := o.(type) {
 		case core.Send:
 			d.route.Send(o.To, o.Datagram)
 		case core.Start:
-			d.start(o)
+			d.startRequest(o)
 		case core.Refuse:
-			d.refuse(o)
+			d.refuseRequest(o)
 		case core.Fetch:
-			go d.fetch(o)
+			go d.fetchVersion(o)
 		case core.Probe:
 			go d.probe(o.Upstream)
 		case core.Event:
@@ -111,7 +111,7 @@
 	}
 }
 
-func (d *Driver) start(o core.Start) {
+func (d *AppController) startRequest(o core.Start) {
 	t := d.tickets[o.ID]
 	if t == nil {
 		return
@@ -120,7 +120,7 @@
 	t.ticket.Decide(request.Decision{Upstream: d.node.Upstream(o.Upstream), At: d.clock.Now()})
 }
 
-func (d *Driver) refuse(o core.Refuse) {
+func (d *AppController) refuseRequest(o core.Refuse) {
 	t := d.tickets[o.ID]
 	if t == nil {
 		return
@@ -130,17 +130,17 @@
 }
 
 // fetch reads a version from a peer and offers it to the core.
-func (d *Driver) fetch(o core.Fetch) {
+func (d *AppController) fetchVersion(o core.Fetch) {
 	raw, err := conn.Fetch(context.Background(), conn.Question{Method: conn.MethodVersion, Asker: string(d.id)}, string(o.From), d.sealer)
 	if err != nil {
 		d.log.Debug().Err(err).Msg("version-fetch-failed")
 		return
 	}
-	d.Offer(raw)
+	d.OfferVersion(raw)
 }
 
 // Offer checks a packed version, from whatever source, and hands it to the core.
-func (d *Driver) Offer(raw []byte) {
+func (d *AppController) OfferVersion(raw []byte) {
 	p, err := version.Decode(raw)
 	if err != nil {
 		d.log.Warn().Err(err).Msg("value-is-no-version")
@@ -151,7 +151,7 @@
 		return
 	}
 	v, err := version.Load(raw)
-	d.do(func(now time.Time) {
+	d.enqueue(func(now time.Time) {
 		if err != nil {
 			d.node.Step(core.BadVersion{Number: num, Why: err.Error()}, now)
 			return
@@ -162,29 +162,29 @@
 }
 
 // Step gives the core one input.
-func (d *Driver) Step(in core.Input) {
-	d.do(func(now time.Time) { d.node.Step(in, now) })
+func (d *AppController) Step(in core.Input) {
+	d.enqueue(func(now time.Time) { d.node.Step(in, now) })
 }
 
 // View returns the control state as of a few ticks ago, or nil at the start.
-func (d *Driver) View() *core.View { return d.view.Load() }
+func (d *AppController) View() *core.View { return d.view.Load() }
 
 // Ready reports whether the balancer may send callers here.
-func (d *Driver) Ready() bool { return d.ready.Load() }
+func (d *AppController) Ready() bool { return d.ready.Load() }
 
 // Watches reports whether this router reads the configuration service now.
-func (d *Driver) Watches() bool { return d.watches.Load() }
+func (d *AppController) Watches() bool { return d.watches.Load() }
 
 // Version implements request.Control.
-func (d *Driver) Version() *version.Version { return d.version.Load() }
+func (d *AppController) Version() *version.Version { return d.version.Load() }
 
 // Place implements request.Control.
-func (d *Driver) Place() string { return d.place }
+func (d *AppController) Place() string { return d.place }
 
 // Redirect implements request.Control.
-func (d *Driver) Redirect(places map[string]bool) string {
+func (d *AppController) Redirect(places map[string]bool) string {
 	answer := make(chan string, 1)
-	d.do(func(time.Time) { answer <- d.node.Redirect(places) })
+	d.enqueue(func(time.Time) { answer <- d.node.Redirect(places) })
 	select {
 	case url := <-answer:
 		return url
@@ -194,11 +194,11 @@
 }
 
 // Submit implements request.Control.
-func (d *Driver) Submit(r entry.Request, key *claim.Key) *request.Ticket {
+func (d *AppController) Submit(r entry.Request, key *claim.Key) *request.Ticket {
 	t := request.NewTicket(d.nextID.Add(1))
 	r.ID = t.ID
-	r.Deadline = d.base.Add(r.Deadline.Sub(d.base))
-	d.do(func(now time.Time) {
+	r.Deadline = d.startTime.Add(r.Deadline.Sub(d.startTime))
+	d.enqueue(func(now time.Time) {
 		d.tickets[t.ID] = &ticketState{ticket: t}
 		d.node.Step(core.Arrive{Request: r, Key: key}, now)
 	})
@@ -207,8 +207,8 @@
 
 // Cancel implements request.Control. A slot that came at the same moment is
 // given back first: nothing was sent.
-func (d *Driver) Cancel(t *request.Ticket) {
-	d.do(func(now time.Time) {
+func (d *AppController) Cancel(t *request.Ticket) {
+	d.enqueue(func(now time.Time) {
 		st := d.tickets[t.ID]
 		if st == nil {
 			return
@@ -222,8 +222,8 @@
 }
 
 // Return implements request.Control.
-func (d *Driver) Return(t *request.Ticket, failed bool) {
-	d.do(func(now time.Time) {
+func (d *AppController) Return(t *request.Ticket, failed bool) {
+	d.enqueue(func(now time.Time) {
 		if st := d.tickets[t.ID]; st != nil {
 			st.running = false
 		}
@@ -232,12 +232,12 @@
 }
 
 // Finish implements request.Control.
-func (d *Driver) Finish(t *request.Ticket, s wire.Sample, answered bool) {
-	d.do(func(now time.Time) {
+func (d *AppController) Finish(t *request.Ticket, s wire.Sample, answered bool) {
+	d.enqueue(func(now time.Time) {
 		delete(d.tickets, t.ID)
 		d.node.Step(core.Finish{ID: t.ID, Units: t.Units(), Sample: s, Answered: answered}, now)
 	})
 }
 
 // Leaving implements request.Control.
-func (d *Driver) Leaving(id version.ID) { d.Step(core.Drain{Upstream: id}) }
+func (d *AppController) Leaving(id version.ID) { d.Step(core.Drain{Upstream: id}) }
--- a/internal/process/daemon.go
+++ b/internal/process/appdaemon.go
@@ -18,34 +18,34 @@
 	"github.com/silverswitch/silverswitch/internal/request"
 )
 
-// lastWords is how long a router that has ended its requests keeps answering
+// shutdownLingerDuration is how long a router that has ended its requests keeps answering
 // peers, so that its leaving is known everywhere.
-const lastWords = 300 * time.Millisecond
+const shutdownLingerDuration = 300 * time.Millisecond
 
 // Daemon is one router process.
-type Daemon struct {
-	set      Settings
-	log      zerolog.Logger
-	drv      *Driver
-	route    *conn.Route
-	fetch    *conn.FetchServer
-	ups      *conn.Upstreams
-	callers  *http.Server
-	operator *http.Server
-	flush    func(context.Context) error
-	leaving  atomic.Bool
-	stop     context.CancelFunc
+type AppDaemon struct {
+	set         Settings
+	log         zerolog.Logger
+	ctrl        *AppController
+	route       *conn.Route
+	fetchServer *conn.FetchServer
+	upstreams   *conn.Upstreams
+	callers     *http.Server
+	operator    *http.Server
+	flush       func(context.Context) error
+	leaving     atomic.Bool
+	stop        context.CancelFunc
 }
 
 // Start opens every listener and begins to serve. On error nothing is left open.
-func Start(set Settings, log zerolog.Logger) (*Daemon, error) {
+func StartApp(set Settings, log zerolog.Logger) (*AppDaemon, error) {
 	reg := metrics.NewRegistry()
 	sealer, err := conn.NewSealer(set.Secret, "route")
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &Daemon{set: set, log: log, stop: stop, ups: conn.NewUpstreams(conn.DefaultLimits)}
+	d := &AppDaemon{set: set, log: log, stop: stop, upstreams: conn.NewUpstreams(conn.DefaultLimits)}
 	if d.flush, err = startTracing(ctx, set); err != nil {
 		stop()
 		return nil, err
@@ -54,8 +54,8 @@
 		d.close()
 		return nil, err
 	}
-	d.drv = NewDriver(d.coreSettings(), d.route, sealer, log)
-	if d.fetch, err = conn.ServeFetch(set.Peer, sealer, conn.Served{conn.MethodVersion: func(conn.Question) []byte { return d.packed() }}); err != nil {
+	d.ctrl = NewAppController(d.coreSettings(), d.route, sealer, log)
+	if d.fetchServer, err = conn.ServeFetch(set.Peer, sealer, conn.Served{conn.MethodVersion: func(conn.Question) []byte { return d.packedVersion() }}); err != nil {
 		d.close()
 		return nil, err
 	}
@@ -63,11 +63,11 @@
 		d.close()
 		return nil, err
 	}
-	d.run(ctx, NewPlatform(set.Platform, d.drv, log, reg))
+	d.run(ctx, NewPlatform(set.Platform, d.ctrl, log, reg))
 	return d, nil
 }
 
-func (d *Daemon) coreSettings() core.Settings {
+func (d *AppDaemon) coreSettings() core.Settings {
 	inc := wire.IncarnationAt(time.Now())
 	return core.Settings{
 		ID:     wire.NodeID(d.set.Peer),
@@ -81,14 +81,14 @@
 }
 
 // packed returns the bytes of the version in force, for peers.
-func (d *Daemon) packed() []byte {
-	if v := d.drv.Version(); v != nil {
+func (d *AppDaemon) packedVersion() []byte {
+	if v := d.ctrl.Version(); v != nil {
 		return v.Packed
 	}
 	return nil
 }
 
-func (d *Daemon) listen(reg metrics.Registry) error {
+func (d *AppDaemon) listen(reg metrics.Registry) error {
 	prints, err := fingerprint.NewKey(d.set.Secret)
 	if err != nil {
 		return err
@@ -102,15 +102,15 @@
 		callers.Close()
 		return ErrSettings.Wrap(err, "[router] operator_address = %q", d.set.Operator)
 	}
-	server := request.NewServer(d.drv, d.ups, prints, d.set.Limits, reg)
+	server := request.NewServer(d.ctrl, d.upstreams, prints, d.set.Limits, reg)
 	d.callers = &http.Server{
-		Handler:           d.closing(server.Handler()),
+		Handler:           d.withCloseHint(server.Handler()),
 		ReadHeaderTimeout: d.set.HeadTime,
 		IdleTimeout:       d.set.IdleTime,
 		MaxHeaderBytes:    d.set.Header,
 		Protocols:         protocols(),
 	}
-	d.operator = &http.Server{Handler: operatorHandler(d.drv, reg), ReadHeaderTimeout: d.set.HeadTime}
+	d.operator = &http.Server{Handler: operatorHandler(d.ctrl, reg), ReadHeaderTimeout: d.set.HeadTime}
 	go d.serve(d.callers, callers)
 	go func() { _ = d.operator.Serve(operator) }()
 	return nil
@@ -125,7 +125,7 @@
 	return p
 }
 
-func (d *Daemon) serve(s *http.Server, l net.Listener) {
+func (d *AppDaemon) serve(s *http.Server, l net.Listener) {
 	var err error
 	if d.set.CertFile != "" {
 		err = s.ServeTLS(l, d.set.CertFile, d.set.KeyFile)
@@ -139,7 +139,7 @@
 
 // closing asks callers to open a new connection elsewhere once this router is
 // leaving; requests that still arrive are served.
-func (d *Daemon) closing(next http.Handler) http.Handler {
+func (d *AppDaemon) withCloseHint(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.leaving.Load() && r.ProtoMajor == 1 {
 			w.Header().Set("Connection", "close")
@@ -148,31 +148,31 @@
 	})
 }
 
-func (d *Daemon) run(ctx context.Context, p *Platform) {
-	go d.drv.Run(ctx)
+func (d *AppDaemon) run(ctx context.Context, p *Platform) {
+	go d.ctrl.Run(ctx)
 	go p.WatchConfiguration(ctx)
 	go p.WatchVMs(ctx)
 	go d.receive()
 	d.log.Info().Str("peer", d.set.Peer).Str("callers", d.set.Callers).Str("operator", d.set.Operator).Msg("started")
 }
 
-func (d *Daemon) receive() {
+func (d *AppDaemon) receive() {
 	buf := make([]byte, 64<<10)
 	for {
 		m, err := d.route.Receive(buf)
 		if err != nil {
 			return
 		}
-		d.drv.Deliver(m)
+		d.ctrl.Deliver(m)
 	}
 }
 
 // Shutdown is the planned stop: not ready for the balancer, scheduler roles to
 // others, every request that arrived served to its end, then gone. It returns
 // the number of requests cut by the bound, 0 without one.
-func (d *Daemon) Shutdown(ctx context.Context) int {
+func (d *AppDaemon) Shutdown(ctx context.Context) int {
 	d.leaving.Store(true)
-	d.drv.Step(core.Leave{})
+	d.ctrl.Step(core.Leave{})
 	sleep(ctx, d.set.Wait)
 	if d.set.Bound > 0 {
 		var stop context.CancelFunc
@@ -183,7 +183,7 @@
 		d.log.Warn().Int("requests", d.open()).Msg("requests-cut")
 	}
 	cut := d.open()
-	sleep(ctx, lastWords)
+	sleep(ctx, shutdownLingerDuration)
 	d.close()
 	d.log.Info().Int("cut", cut).Msg("stopped")
 	return cut
@@ -191,29 +191,29 @@
 
 // Reload takes settings that may change while the process runs: none of this
 // interface yet; WatchSettings says which wait for a restart.
-func (d *Daemon) Reload(Settings) {}
+func (d *AppDaemon) Reload(Settings) {}
 
-// openWait bounds how long the control goroutine is asked for a count.
-const openWait = time.Second
+// openRequestsTimeout bounds how long the control goroutine is asked for a count.
+const openRequestsTimeout = time.Second
 
-func (d *Daemon) open() int { return d.Open(openWait) }
+func (d *AppDaemon) open() int { return d.Open(openRequestsTimeout) }
 
 // Open returns the requests that have no outcome yet.
-func (d *Daemon) Open(wait time.Duration) int {
+func (d *AppDaemon) Open(wait time.Duration) int {
 	n := make(chan int, 1)
-	go d.drv.do(func(time.Time) { n <- len(d.drv.tickets) })
+	go d.ctrl.enqueue(func(time.Time) { n <- len(d.ctrl.tickets) })
 	select {
 	case c := <-n:
 		return c
 	case <-time.After(wait):
 		return 0
-	case <-d.drv.done:
+	case <-d.ctrl.done:
 		return 0
 	}
 }
 
 // close ends everything at once.
-func (d *Daemon) close() {
+func (d *AppDaemon) close() {
 	d.stop()
 	if d.callers != nil {
 		d.callers.Close()
@@ -221,12 +221,12 @@
 	if d.operator != nil {
 		d.operator.Close()
 	}
-	if d.fetch != nil {
-		d.fetch.Close()
+	if d.fetchServer != nil {
+		d.fetchServer.Close()
 	}
 	if d.route != nil {
 		d.route.Close()
 	}
-	d.ups.Close()
+	d.upstreams.Close()
 	flushTraces(d.flush, d.log)
 }
--- a/internal/process/usable.go
+++ b/internal/process/availability.go
@@ -9,29 +9,29 @@
 )
 
 // usable is what requests need to know of where they may be sent.
-type usable struct {
+type availability struct {
 	mu        sync.RWMutex
 	starts    map[string]routing.Instance // by start, without those that leave; nil while nothing is known
 	evacuated map[string]bool             // places
 	backoffs  map[string]time.Time        // until when starts want nothing of this router
 }
 
-// publishUsable tells requests which instances may be sent work.
-func (s *Steerer) publishUsable(list []routing.Instance, evacuated []routing.Evacuation) {
+// publishAvailability tells requests which instances may be sent work.
+func (s *RoutedController) publishAvailability(list []routing.Instance, evacuated []routing.Evacuation) {
 	starts := make(map[string]routing.Instance, len(list))
 	for _, i := range list {
 		if !i.Draining {
 			starts[i.Start()] = i
 		}
 	}
-	s.usable.mu.Lock()
-	defer s.usable.mu.Unlock()
-	s.usable.starts, s.usable.evacuated = starts, routing.EvacuatedPlaces(evacuated)
+	s.availability.mu.Lock()
+	defer s.availability.mu.Unlock()
+	s.availability.starts, s.availability.evacuated = starts, routing.EvacuatedPlaces(evacuated)
 }
 
-// updateUsable tells requests what has changed of that.
-func (s *Steerer) updateUsable(c routing.Changes, evacuated []routing.Evacuation) {
-	u := &s.usable
+// updateAvailability tells requests what has changed of that.
+func (s *RoutedController) updateAvailability(c routing.Changes, evacuated []routing.Evacuation) {
+	u := &s.availability
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.starts == nil {
@@ -51,7 +51,7 @@
 }
 
 // standing is what requests know of one start.
-type standing struct {
+type instanceStatus struct {
 	inst      routing.Instance
 	known     bool // any list was published
 	listed    bool
@@ -59,19 +59,19 @@
 	backsOff  bool // it wants nothing of this router now
 }
 
-func (u *usable) of(start string, now time.Time) standing {
+func (u *availability) of(start string, now time.Time) instanceStatus {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
 	i, listed := u.starts[start]
-	return standing{inst: i, known: u.starts != nil, listed: listed, evacuated: u.evacuated[i.Place], backsOff: now.Before(u.backoffs[start])}
+	return instanceStatus{inst: i, known: u.starts != nil, listed: listed, evacuated: u.evacuated[i.Place], backsOff: now.Before(u.backoffs[start])}
 }
 
-// mayAsk reports whether a start may be asked anything: it neither leaves nor wants nothing
+// mayCall reports whether a start may be asked anything: it neither leaves nor wants nothing
 // of this router for a while.
-func (s standing) mayAsk() bool { return (s.listed || !s.known) && !s.backsOff }
+func (s instanceStatus) mayCall() bool { return (s.listed || !s.known) && !s.backsOff }
 
 // backOff keeps requests from a start until a time.
-func (u *usable) backOff(start string, until, now time.Time) {
+func (u *availability) backOff(start string, until, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.backoffs == nil {
--- a/internal/process/edge.go
+++ b/internal/process/callerserver.go
@@ -17,27 +17,27 @@
 // net/http fixes a server's limits, so a table with other limits gets a server of
 // its own for new connections; those that are open keep the limits they began
 // with.
-type edge struct {
-	listener net.Listener
-	handler  http.Handler
-	crowd    *crowd
-	behind   func() bool // control is behind; may be nil
-	log      zerolog.Logger
-	mu       sync.Mutex
-	limits   routing.Limits
-	current  *http.Server
-	feed     *feed
-	all      []*http.Server
-	closed   bool
-	failedAt time.Time // last line of a failed accept; accept goroutine only
+type callerServer struct {
+	listener            net.Listener
+	handler             http.Handler
+	connLimiter         *connLimiter
+	controlBehind       func() bool // control is behind; may be nil
+	log                 zerolog.Logger
+	mu                  sync.Mutex
+	limits              routing.Limits
+	current             *http.Server
+	chanListener        *chanListener
+	servers             []*http.Server
+	closed              bool
+	acceptErrorLoggedAt time.Time // last line of a failed accept; accept goroutine only
 }
 
-// startLimits are in force until the first table is known.
-var startLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+// initialLimits are in force until the first table is known.
+var initialLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
 
-// newEdge listens for callers. While behind says that control is not read, they are
+// newCallerServer listens for callers. While behind says that control is not read, they are
 // accepted more slowly.
-func newEdge(addr string, handler http.Handler, descriptors int, behind func() bool, log zerolog.Logger) (*edge, error) {
+func newCallerServer(addr string, handler http.Handler, descriptors int, controlBehind func() bool, log zerolog.Logger) (*callerServer, error) {
 	// Callers that are gone without a word are found by the limits on idle time and
 	// requests; probes would cost four system calls a connection.
 	config := net.ListenConfig{KeepAlive: -1}
@@ -45,17 +45,17 @@
 	if err != nil {
 		return nil, ErrSettings.Wrap(err, "[router] caller_address = %q", addr)
 	}
-	e := &edge{listener: l, crowd: newCrowd(descriptors), behind: behind, log: log}
-	e.handler = e.closing(handler)
-	e.use(startLimits)
+	e := &callerServer{listener: l, connLimiter: newConnLimiter(descriptors), controlBehind: controlBehind, log: log}
+	e.handler = e.withCloseHint(handler)
+	e.setLimits(initialLimits)
 	go e.accept()
 	return e, nil
 }
 
 // closing asks callers to close their connections while there are many.
-func (e *edge) closing(next http.Handler) http.Handler {
+func (e *callerServer) withCloseHint(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if e.crowd.dense() {
+		if e.connLimiter.closeHint() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -63,7 +63,7 @@
 }
 
 // use puts limits in force for new connections.
-func (e *edge) use(l routing.Limits) {
+func (e *callerServer) setLimits(l routing.Limits) {
 	l.TokensPerSecond, l.BodyBytes = 0, 0
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,21 +76,21 @@
 		ReadHeaderTimeout: l.HeaderTime,
 		IdleTimeout:       l.IdleTime,
 		MaxHeaderBytes:    l.HeaderBytes,
-		ConnState:         e.crowd.connState,
-		ErrorLog:          quietLog(),
+		ConnState:         e.connLimiter.connState,
+		ErrorLog:          discardLog(),
 	}
-	e.feed = newFeed(e.listener.Addr())
-	e.all = append(e.all, e.current)
-	go func(s *http.Server, f *feed) {
+	e.chanListener = newChanListener(e.listener.Addr())
+	e.servers = append(e.servers, e.current)
+	go func(s *http.Server, f *chanListener) {
 		if err := s.Serve(f); !errors.Is(err, http.ErrServerClosed) {
 			e.log.Error().Err(err).Msg("callers-listener-ended")
 		}
-	}(e.current, e.feed)
+	}(e.current, e.chanListener)
 }
 
-func (e *edge) accept() {
+func (e *callerServer) accept() {
 	for {
-		e.pace()
+		e.waitForControl()
 		c, err := e.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
@@ -100,90 +100,90 @@
 			continue
 		}
 		e.mu.Lock()
-		f := e.feed
+		f := e.chanListener
 		e.mu.Unlock()
-		f.give(c)
+		f.deliver(c)
 	}
 }
 
-// Accepting is held while control is behind, for acceptHold at the most, looking every
-// acceptLook, so that a router always takes some connections: callers give a new one a
+// Accepting is held while control is behind, for maxAcceptDelay at the most, looking every
+// acceptPollInterval, so that a router always takes some connections: callers give a new one a
 // second.
 //
 // Load pattern: 2,600 requests a second of several floods at a router of a fifth of a core.
 // Refusing each took all its processor, and it read no datagram for three seconds: it had
 // no word on shares, and what it placed was not sent.
 const (
-	acceptHold = 20 * time.Millisecond
-	acceptLook = 2 * time.Millisecond
+	maxAcceptDelay     = 20 * time.Millisecond
+	acceptPollInterval = 2 * time.Millisecond
 )
 
 // pace waits while control is behind.
-func (e *edge) pace() {
-	if e.behind == nil {
+func (e *callerServer) waitForControl() {
+	if e.controlBehind == nil {
 		return
 	}
-	for end := time.Now().Add(acceptHold); e.behind() && time.Now().Before(end); {
-		time.Sleep(acceptLook)
+	for end := time.Now().Add(maxAcceptDelay); e.controlBehind() && time.Now().Before(end); {
+		time.Sleep(acceptPollInterval)
 	}
 }
 
 const (
-	acceptPause   = 5 * time.Millisecond
-	acceptLogSpan = time.Second
+	acceptRetryDelay  = 5 * time.Millisecond
+	acceptLogInterval = time.Second
 )
 
 // acceptFailed waits a moment; of many failures one a second is logged.
-func (e *edge) acceptFailed(err error) {
-	if now := time.Now(); now.Sub(e.failedAt) >= acceptLogSpan {
-		e.failedAt = now
+func (e *callerServer) acceptFailed(err error) {
+	if now := time.Now(); now.Sub(e.acceptErrorLoggedAt) >= acceptLogInterval {
+		e.acceptErrorLoggedAt = now
 		e.log.Warn().Err(err).Msg("accept-failed")
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 }
 
 // stopAccepting closes the listener; open connections go on.
-func (e *edge) stopAccepting() { e.listener.Close() }
+func (e *callerServer) stopAccepting() { e.listener.Close() }
 
 // shutdown ends idle connections at once and others after their request.
-func (e *edge) shutdown(ctx context.Context) error {
+func (e *callerServer) shutdown(ctx context.Context) error {
 	e.stopAccepting()
 	e.mu.Lock()
 	e.closed = true
-	all := e.all
+	servers := e.servers
 	e.mu.Unlock()
 	var wg sync.WaitGroup
-	errs := make([]error, len(all))
-	for i, s := range all {
+	errs := make([]error, len(servers))
+	for i, s := range servers {
 		wg.Go(func() { errs[i] = s.Shutdown(ctx) })
 	}
 	wg.Wait()
 	return errors.Join(errs...)
 }
 
-func (e *edge) close() {
+func (e *callerServer) close() {
 	e.stopAccepting()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
-	for _, s := range e.all {
+	for _, s := range e.servers {
 		s.Close()
 	}
 }
 
 // feed is a net.Listener that is given its connections.
-type feed struct {
+type chanListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newFeed(addr net.Addr) *feed {
-	return &feed{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+func newChanListener(addr net.Addr) *chanListener {
+	return &chanListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (f *feed) give(c net.Conn) {
+func (f *chanListener) deliver(c net.Conn) {
 	select {
 	case f.conns <- c:
 	case <-f.done:
@@ -192,7 +192,7 @@
 }
 
 // Accept implements net.Listener.
-func (f *feed) Accept() (net.Conn, error) {
+func (f *chanListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-f.conns:
 		return c, nil
@@ -202,10 +202,10 @@
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
+func (f *chanListener) Close() error {
 	f.once.Do(func() { close(f.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr { return f.addr }
+func (f *chanListener) Addr() net.Addr { return f.addr }
--- a/internal/process/edge_test.go
+++ b/internal/process/callerserver_test.go
@@ -17,18 +17,18 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// limitedEdge serves "ok" under limits that a test can wait for.
-func limitedEdge(t *testing.T, l routing.Limits) string {
+// startCallerServer serves "ok" under limits that a test can wait for.
+func startCallerServer(t *testing.T, l routing.Limits) string {
 	t.Helper()
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
-	e, err := newEdge("127.0.0.1:0", ok, 0, nil, zerolog.Nop())
+	e, err := newCallerServer("127.0.0.1:0", ok, 0, nil, zerolog.Nop())
 	require.NoError(t, err)
 	t.Cleanup(e.close)
-	e.use(l)
+	e.setLimits(l)
 	return e.listener.Addr().String()
 }
 
-func dialEdge(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
+func dialCallerServer(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	return c, bufio.NewReader(c)
 }
 
-func askEdge(t *testing.T, c net.Conn, br *bufio.Reader, header string) (int, error) {
+func roundTrip(t *testing.T, c net.Conn, br *bufio.Reader, header string) (int, error) {
 	t.Helper()
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n"+header+"\r\n")
 	require.NoError(t, err)
@@ -50,32 +50,32 @@
 	return res.StatusCode, err
 }
 
-var wide = routing.Limits{HeaderBytes: 2 << 10, HeaderTime: time.Minute, IdleTime: time.Minute}
+var generousLimits = routing.Limits{HeaderBytes: 2 << 10, HeaderTime: time.Minute, IdleTime: time.Minute}
 
-func TestLargeHeaderIsRefused(t *testing.T) {
-	addr := limitedEdge(t, wide)
-	c, br := dialEdge(t, addr)
-	code, err := askEdge(t, c, br, "X-Some: "+strings.Repeat("x", 1<<10)+"\r\n")
+func TestOversizedHeaderIsRefused(t *testing.T) {
+	addr := startCallerServer(t, generousLimits)
+	c, br := dialCallerServer(t, addr)
+	code, err := roundTrip(t, c, br, "X-Some: "+strings.Repeat("x", 1<<10)+"\r\n")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
-	code, err = askEdge(t, c, br, "X-Some: "+strings.Repeat("x", 16<<10)+"\r\n")
+	code, err = roundTrip(t, c, br, "X-Some: "+strings.Repeat("x", 16<<10)+"\r\n")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, code)
-	c, br = dialEdge(t, addr)
-	code, err = askEdge(t, c, br, "")
+	c, br = dialCallerServer(t, addr)
+	code, err = roundTrip(t, c, br, "")
 	require.NoError(t, err, "others are not harmed")
 	assert.Equal(t, 200, code)
 }
 
-func TestSlowHeaderEndsItsConnectionAlone(t *testing.T) {
-	l := wide
+func TestSlowHeaderClosesOnlyItsConnection(t *testing.T) {
+	l := generousLimits
 	l.HeaderTime = 150 * time.Millisecond
-	addr := limitedEdge(t, l)
-	slow, slowReader := dialEdge(t, addr)
+	addr := startCallerServer(t, l)
+	slow, slowReader := dialCallerServer(t, addr)
 	_, err := io.WriteString(slow, "GET / HTTP/1.1\r\nHos")
 	require.NoError(t, err)
-	c, br := dialEdge(t, addr)
-	code, err := askEdge(t, c, br, "")
+	c, br := dialCallerServer(t, addr)
+	code, err := roundTrip(t, c, br, "")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	raw, err := io.ReadAll(slowReader)
@@ -84,12 +84,12 @@
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	l := wide
+	l := generousLimits
 	l.IdleTime = 150 * time.Millisecond
-	addr := limitedEdge(t, l)
-	c, br := dialEdge(t, addr)
+	addr := startCallerServer(t, l)
+	c, br := dialCallerServer(t, addr)
 	for range 2 { // used again before the limit
-		code, err := askEdge(t, c, br, "")
+		code, err := roundTrip(t, c, br, "")
 		require.NoError(t, err)
 		assert.Equal(t, 200, code)
 	}
--- a/internal/process/crowd_test.go
+++ b/internal/process/connlimiter_test.go
@@ -11,15 +11,15 @@
 
 // A router ran out of descriptors over idle connections of
 // callers that open one for each request, and accepted nobody for seconds.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	c := newCrowd(reservedFiles + 10) // asks to close above 3, closes idle ones above 6
+func TestLongestIdleConnectionIsClosedForANewOne(t *testing.T) {
+	c := newConnLimiter(reservedDescriptors + 10) // asks to close above 3, closes idle ones above 6
 	var ours, theirs []net.Conn
 	for range 9 {
 		a, b := net.Pipe()
 		ours, theirs = append(ours, a), append(theirs, b)
 	}
 	closed := func(i int) bool {
-		_ = theirs[i].SetReadDeadline(aLongTimeAgo)
+		_ = theirs[i].SetReadDeadline(pastDeadline)
 		_, err := theirs[i].Read(make([]byte, 1))
 		nerr, ok := err.(net.Error)
 		return !ok || !nerr.Timeout()
@@ -27,7 +27,7 @@
 	for i := range 6 {
 		c.connState(ours[i], http.StateNew)
 		c.connState(ours[i], http.StateActive)
-		assert.Equal(t, i+1 > 3, c.dense())
+		assert.Equal(t, i+1 > 3, c.closeHint())
 		c.connState(ours[i], http.StateIdle)
 	}
 	c.connState(ours[0], http.StateActive) // in use again
@@ -37,9 +37,9 @@
 	assert.False(t, closed(2))
 	c.connState(ours[1], http.StateClosed)
 	assert.Equal(t, 6, c.open)
-	unbounded := newCrowd(0)
+	unbounded := newConnLimiter(0)
 	unbounded.connState(ours[7], http.StateNew)
-	assert.False(t, unbounded.dense())
+	assert.False(t, unbounded.closeHint())
 }
 
-var aLongTimeAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
--- a/internal/process/controlloop.go
+++ b/internal/process/controlloop.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	opsQueue = 1024
-	opsBatch = 256
+	opsQueueSize = 1024
+	maxOpsBatch  = 256
 )
 
 // op is work for the control goroutine.
@@ -21,15 +21,15 @@
 // controlLoop is the one goroutine that touches a state machine, and the way to it for all
 // others.
 type controlLoop struct {
-	ops   chan op
-	mail  chan *wire.Datagram
-	base  time.Time // process start
-	clock *clock.Clock
-	done  chan struct{}
+	ops       chan op
+	datagrams chan *wire.Datagram
+	startTime time.Time // process start
+	clock     *clock.Clock
+	done      chan struct{}
 }
 
 // machine is what a control loop drives.
-type machine interface {
+type stateMachine interface {
 	receive(m *wire.Datagram, now time.Time)
 	tick(now time.Time)
 	// flush carries out what follows from the inputs since the last call.
@@ -38,20 +38,20 @@
 
 func newControlLoop(now time.Time) controlLoop {
 	return controlLoop{
-		ops:   make(chan op, opsQueue),
-		mail:  make(chan *wire.Datagram, opsQueue),
-		base:  now,
-		clock: clock.System,
-		done:  make(chan struct{}),
+		ops:       make(chan op, opsQueueSize),
+		datagrams: make(chan *wire.Datagram, opsQueueSize),
+		startTime: now,
+		clock:     clock.System,
+		done:      make(chan struct{}),
 	}
 }
 
 // now is wall time at the start plus the time since: it never jumps when the wall clock
 // is set, and goes on while the VM is suspended.
-func (l *controlLoop) now() time.Time { return l.base.Add(l.clock.Since(l.base)) }
+func (l *controlLoop) now() time.Time { return l.startTime.Add(l.clock.Since(l.startTime)) }
 
 // run is the control goroutine. It ends with the context.
-func (l *controlLoop) run(ctx context.Context, every time.Duration, m machine, log zerolog.Logger) {
+func (l *controlLoop) run(ctx context.Context, every time.Duration, m stateMachine, log zerolog.Logger) {
 	defer close(l.done)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -61,24 +61,24 @@
 			return
 		case f := <-l.ops:
 			f(l.now())
-		case d := <-l.mail:
+		case d := <-l.datagrams:
 			m.receive(d, l.now())
 		case <-tick.C:
-			lookAtClock(l.clock, log)
+			refreshClock(l.clock, log)
 			m.tick(l.now())
 		}
-		l.drain(m)
+		l.drainQueues(m)
 		m.flush(l.now())
 	}
 }
 
 // drain takes what else is already there, so that one datagram carries it all.
-func (l *controlLoop) drain(m machine) {
-	for range opsBatch {
+func (l *controlLoop) drainQueues(m stateMachine) {
+	for range maxOpsBatch {
 		select {
 		case f := <-l.ops:
 			f(l.now())
-		case d := <-l.mail:
+		case d := <-l.datagrams:
 			m.receive(d, l.now())
 		default:
 			return
@@ -87,7 +87,7 @@
 }
 
 // do hands work to the control goroutine; it is dropped after its end.
-func (l *controlLoop) do(f op) {
+func (l *controlLoop) enqueue(f op) {
 	select {
 	case l.ops <- f:
 	case <-l.done:
@@ -98,16 +98,16 @@
 // dropped, as a network would.
 func (l *controlLoop) Deliver(m *wire.Datagram) {
 	select {
-	case l.mail <- m:
+	case l.datagrams <- m:
 	default:
 	}
 }
 
 // ask lets the control goroutine answer a question. It returns false when that takes longer
 // than a time, or the goroutine has ended.
-func ask[T any](l *controlLoop, wait time.Duration, answer func(now time.Time) T) (T, bool) {
+func query[T any](l *controlLoop, wait time.Duration, answer func(now time.Time) T) (T, bool) {
 	got := make(chan T, 1)
-	go l.do(func(now time.Time) { got <- answer(now) })
+	go l.enqueue(func(now time.Time) { got <- answer(now) })
 	select {
 	case a := <-got:
 		return a, true
--- a/internal/process/deadly_test.go
+++ b/internal/process/crashingrequest_test.go
@@ -19,36 +19,36 @@
 
 // mortal serves a handler at one address. Its process ends when it gets a body with the
 // word, and starts again there.
-type mortal struct {
-	t     testing.TB
-	h     http.Handler
-	addr  string
-	word  string
-	ended *atomic.Int64
-	mu    sync.Mutex
-	now   *http.Server
-	over  bool
+type crashingServer struct {
+	t       testing.TB
+	handler http.Handler
+	addr    string
+	keyword string
+	crashes *atomic.Int64
+	mu      sync.Mutex
+	server  *http.Server
+	closed  bool
 }
 
-// awayFor is how long a crashed upstream is away.
-const awayFor = 100 * time.Millisecond
+// restartDelay is how long a crashed upstream is away.
+const restartDelay = 100 * time.Millisecond
 
-func serveMortal(t testing.TB, h http.Handler, word string, ended *atomic.Int64) string {
-	m := &mortal{t: t, h: h, addr: "127.0.0.1:0", word: word, ended: ended}
+func serveCrashing(t testing.TB, handler http.Handler, keyword string, crashes *atomic.Int64) string {
+	m := &crashingServer{t: t, handler: handler, addr: "127.0.0.1:0", keyword: keyword, crashes: crashes}
 	m.start()
 	t.Cleanup(func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.over = true
-		m.now.Close()
+		m.closed = true
+		m.server.Close()
 	})
 	return m.addr
 }
 
-func (m *mortal) start() {
+func (m *crashingServer) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.over {
+	if m.closed {
 		return
 	}
 	l, err := net.Listen("tcp", m.addr)
@@ -60,32 +60,32 @@
 	var once sync.Once
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
-		if strings.Contains(string(raw), m.word) {
+		if strings.Contains(string(raw), m.keyword) {
 			once.Do(func() {
-				m.ended.Add(1)
+				m.crashes.Add(1)
 				s.Close()
-				time.AfterFunc(awayFor, m.start)
+				time.AfterFunc(restartDelay, m.start)
 			})
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(raw))
-		m.h.ServeHTTP(w, r)
+		m.handler.ServeHTTP(w, r)
 	})
-	m.now = s
+	m.server = s
 	go func() { _ = s.Serve(l) }() // ends when it is closed
 }
 
 // The interface of our own had the same fault as the routed one: what a router remembers
 // of a failure is the upstream's. An application that may be repeated is tried up to four
 // times at one router, and each caller's next try, at whichever router, begins anew.
-func TestRepeatableDeadlyRequestEndsFewUpstreams(t *testing.T) {
+func TestRetriedCrashingRequestCrashesFewUpstreams(t *testing.T) {
 	const (
 		word    = "deadly"
 		tries   = 30
 		allowed = 3 + 3
 	)
 	var ended atomic.Int64
-	f := newTestFleetOf(t, func(h http.Handler) string { return serveMortal(t, h, word, &ended) })
+	f := newTestFleetOf(t, func(h http.Handler) string { return serveCrashing(t, h, word, &ended) })
 	sound := func(router int) func() bool {
 		return func() bool { return f.chat(router, "chat", "sound", false, 5).kind == outcome.Answered }
 	}
@@ -94,7 +94,7 @@
 	}
 	for i := range tries {
 		f.chat(i%len(places), "chat", word, false, 5)
-		time.Sleep(2 * awayFor)
+		time.Sleep(2 * restartDelay)
 	}
 	assert.LessOrEqual(t, ended.Load(), int64(allowed), "upstreams that ended under one request")
 	assert.GreaterOrEqual(t, ended.Load(), int64(2), "one proves nothing against a request")
--- a/internal/process/requests.go
+++ b/internal/process/forwardcontrol.go
@@ -11,15 +11,15 @@
 // What requests ask of the control state. Every method may be called by any goroutine.
 
 // Excess implements forward.Control.
-func (s *Steerer) Excess() float64 { return s.strain.excess() }
+func (s *RoutedController) Excess() float64 { return s.overload.shedRatio() }
 
 // TurnedAway implements forward.Control.
-func (s *Steerer) TurnedAway(w dispatch.TurnedWork) { s.turned.add(w) }
+func (s *RoutedController) TurnedAway(w dispatch.TurnedWork) { s.shed.add(w) }
 
 // Unusable implements forward.Control.
-func (s *Steerer) Unusable(p *dispatch.Place) forward.Unusable {
+func (s *RoutedController) Unusable(p *dispatch.Place) forward.Unusable {
 	now := s.now()
-	up := s.usable.of(p.Instance.Start(), now)
+	up := s.availability.of(p.Instance.Start(), now)
 	switch {
 	case !up.known:
 		return forward.MaySend
@@ -36,13 +36,13 @@
 }
 
 // Looked implements forward.Control.
-func (s *Steerer) Looked(i routing.Instance, coldFor time.Duration) {
+func (s *RoutedController) Looked(i routing.Instance, coldFor time.Duration) {
 	s.Step(dispatch.Looked{Instance: i, ColdFor: coldFor})
 }
 
 // UpstreamLeaves implements forward.Control.
-func (s *Steerer) UpstreamLeaves(start string) {
-	up := s.usable.of(start, s.now())
+func (s *RoutedController) UpstreamLeaves(start string) {
+	up := s.availability.of(start, s.now())
 	if !up.listed {
 		return // it is known to leave, or to have ended
 	}
@@ -50,16 +50,16 @@
 }
 
 // UpstreamBacksOff implements forward.Control.
-func (s *Steerer) UpstreamBacksOff(start string, d time.Duration) {
+func (s *RoutedController) UpstreamBacksOff(start string, d time.Duration) {
 	now := s.now()
-	s.usable.backOff(start, now.Add(d), now)
-	if up := s.usable.of(start, now); up.listed {
+	s.availability.backOff(start, now.Add(d), now)
+	if up := s.availability.of(start, now); up.listed {
 		s.Step(dispatch.RetryAfter{Instance: up.inst, For: d})
 	}
 }
 
 // drain takes an instance out of use that has said that it leaves.
-func (s *Steerer) drain(o dispatch.Leaving) {
+func (s *RoutedController) drainUpstream(o dispatch.Leaving) {
 	s.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Str("peer", string(o.From)).Uint64("revision", s.view.Revision).Msg("upstream-says-it-leaves")
 	if s.view.Drain(o.Instance) {
 		s.publish(s.now())
@@ -67,18 +67,18 @@
 }
 
 // Table implements forward.Control.
-func (s *Steerer) Table() *routing.Table { return s.table.Load() }
+func (s *RoutedController) Table() *routing.Table { return s.table.Load() }
 
 // Leaving implements forward.Control.
-func (s *Steerer) Leaving() bool { return s.leaving.Load() }
+func (s *RoutedController) Leaving() bool { return s.leaving.Load() }
 
 // Submit implements forward.Control.
-func (s *Steerer) Submit(r dispatch.Request) *forward.Ticket {
+func (s *RoutedController) Submit(r dispatch.Request) *forward.Ticket {
 	t := forward.NewTicket(s.nextID.Add(1))
 	r.ID = t.ID
-	r.Aim = s.base.Add(r.Aim.Sub(s.base))
-	r.Deadline = s.base.Add(r.Deadline.Sub(s.base))
-	s.do(func(now time.Time) {
+	r.Aim = s.startTime.Add(r.Aim.Sub(s.startTime))
+	r.Deadline = s.startTime.Add(r.Deadline.Sub(s.startTime))
+	s.enqueue(func(now time.Time) {
 		s.tickets[t.ID] = t
 		s.node.Step(dispatch.Arrive{Request: r}, now)
 	})
@@ -86,18 +86,18 @@
 }
 
 // Again implements forward.Control.
-func (s *Steerer) Again(t *forward.Ticket, note uint8) {
-	s.do(func(now time.Time) { s.node.Step(dispatch.Again{ID: t.ID, Event: note}, now) })
+func (s *RoutedController) Again(t *forward.Ticket, note uint8) {
+	s.enqueue(func(now time.Time) { s.node.Step(dispatch.Again{ID: t.ID, Event: note}, now) })
 }
 
 // First implements forward.Control.
-func (s *Steerer) First(t *forward.Ticket, after time.Duration) {
-	s.do(func(now time.Time) { s.node.Step(dispatch.First{ID: t.ID, After: after}, now) })
+func (s *RoutedController) First(t *forward.Ticket, after time.Duration) {
+	s.enqueue(func(now time.Time) { s.node.Step(dispatch.First{ID: t.ID, After: after}, now) })
 }
 
 // End implements forward.Control.
-func (s *Steerer) End(t *forward.Ticket, note uint8) {
-	s.do(func(now time.Time) {
+func (s *RoutedController) End(t *forward.Ticket, note uint8) {
+	s.enqueue(func(now time.Time) {
 		delete(s.tickets, t.ID)
 		s.node.Step(dispatch.End{ID: t.ID, Event: note}, now)
 	})
--- a/internal/process/operator.go
+++ b/internal/process/operator.go
@@ -16,7 +16,7 @@
 
 // operatorHandler serves health, readiness, status and metrics, on the
 // operators' listener only.
-func operatorHandler(d *Driver, reg metrics.Registry) http.Handler {
+func operatorHandler(d *AppController, reg metrics.Registry) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	r.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +38,7 @@
 }
 
 // writeMetrics renders the registry in the Prometheus text format.
-func writeMetrics(w http.ResponseWriter, d *Driver, reg metrics.Registry) {
+func writeMetrics(w http.ResponseWriter, d *AppController, reg metrics.Registry) {
 	lines := map[string]string{}
 	if v := d.View(); v != nil {
 		lines["silverswitch_configuration_revision"] = fmt.Sprintf("%d", v.Revision)
--- a/internal/process/cost_test.go
+++ b/internal/process/overhead_bench_test.go
@@ -28,12 +28,12 @@
 	f := newTestFleet(b)
 	f.files["templates/t.ini"] += "[application check]\nservice = counter\nidempotent = true\n"
 	f.publish()
-	f.eventually(2)
+	f.waitForRevision(2)
 	return f
 }
 
 func (f *testFleet) counterAddr() string {
-	for _, u := range f.daemons[0].drv.Version().Upstreams {
+	for _, u := range f.daemons[0].ctrl.Version().Upstreams {
 		if u.Name == "c" {
 			return u.Address
 		}
--- a/internal/process/peercontent.go
+++ b/internal/process/peercontent.go
@@ -17,7 +17,7 @@
 // lacks, where that is known, and all of it otherwise.
 
 // held is the part of the content that a router has.
-type held struct {
+type contentRevision struct {
 	AsOf     uint64 `cbor:"1,keyasint"` // every change up to this
 	TableRev uint64 `cbor:"2,keyasint"`
 }
@@ -44,7 +44,7 @@
 }
 
 // contentFor is what a router lacks, or nil while there is no table.
-func (s *Steerer) contentFor(h held, now time.Time) *content {
+func (s *RoutedController) contentFor(h contentRevision, now time.Time) *content {
 	if len(s.view.TableRaw) == 0 {
 		return nil
 	}
@@ -72,37 +72,37 @@
 
 // packs keeps what was packed for others lately: hundreds of routers ask for the same at
 // the same time.
-type packs struct {
-	mu   sync.Mutex
-	last map[held]pack
+type contentCache struct {
+	mu      sync.Mutex
+	entries map[contentRevision]cachedContent
 }
 
-type pack struct {
-	raw []byte
-	at  time.Time
-	no  uint64 // of the publication that it holds
+type cachedContent struct {
+	raw         []byte
+	at          time.Time
+	publication uint64 // of the publication that it holds
 }
 
-// packedFor is how long a packed answer is given again. Cold times in it are old by as much,
+// cachedContentTTL is how long a packed answer is given again. Cold times in it are old by as much,
 // which is well within what routers may differ by.
-const packedFor = 150 * time.Millisecond
+const cachedContentTTL = 150 * time.Millisecond
 
-// contentWait is how long a peer's question for the content waits for the control goroutine.
-const contentWait = time.Second
+// contentTimeout is how long a peer's question for the content waits for the control goroutine.
+const contentTimeout = time.Second
 
 // Packed returns the content for a peer, or nil while there is none.
-func (s *Steerer) Packed(q conn.Question) []byte {
-	var h held
+func (s *RoutedController) PackedContent(q conn.Question) []byte {
+	var h contentRevision
 	if err := cbor.Unmarshal(q.Have, &h); err != nil {
-		h = held{} // it is given everything
+		h = contentRevision{} // it is given everything
 	}
-	s.packs.mu.Lock()
-	defer s.packs.mu.Unlock()
-	now, no := s.now(), s.publications.Load()
-	if p, known := s.packs.last[h]; known && p.no == no && now.Sub(p.at) < packedFor {
+	s.contentCache.mu.Lock()
+	defer s.contentCache.mu.Unlock()
+	now, publication := s.now(), s.publications.Load()
+	if p, known := s.contentCache.entries[h]; known && p.publication == publication && now.Sub(p.at) < cachedContentTTL {
 		return p.raw
 	}
-	c, _ := ask(&s.controlLoop, contentWait, func(now time.Time) *content { return s.contentFor(h, now) })
+	c, _ := query(&s.controlLoop, contentTimeout, func(now time.Time) *content { return s.contentFor(h, now) })
 	if c == nil {
 		return nil
 	}
@@ -111,33 +111,33 @@
 		s.log.Error().Err(err).Msg("content-not-encoded")
 		return nil
 	}
-	s.packs.keep(h, pack{raw, now, no})
+	s.contentCache.put(h, cachedContent{raw, now, publication})
 	return raw
 }
 
 // keep takes a pack, and drops those that are too old to be given.
-func (p *packs) keep(h held, new pack) {
-	if p.last == nil {
-		p.last = map[held]pack{}
+func (p *contentCache) put(h contentRevision, new cachedContent) {
+	if p.entries == nil {
+		p.entries = map[contentRevision]cachedContent{}
 	}
-	for other, old := range p.last {
-		if new.at.Sub(old.at) >= packedFor {
-			delete(p.last, other)
+	for other, old := range p.entries {
+		if new.at.Sub(old.at) >= cachedContentTTL {
+			delete(p.entries, other)
 		}
 	}
-	p.last[h] = new
+	p.entries[h] = new
 }
 
 // have is the part of the content that this router has.
-func (s *Steerer) have() held {
-	if s.wantsWhole {
-		return held{TableRev: s.view.TableRev}
+func (s *RoutedController) knownRevision() contentRevision {
+	if s.needsFullContent {
+		return contentRevision{TableRev: s.view.TableRev}
 	}
-	return held{AsOf: s.view.AsOf, TableRev: s.view.TableRev}
+	return contentRevision{AsOf: s.view.AsOf, TableRev: s.view.TableRev}
 }
 
 // fetch reads the content from a peer that knows more.
-func (s *Steerer) fetch(from wire.NodeID, have held) {
+func (s *RoutedController) fetchContent(from wire.NodeID, have contentRevision) {
 	defer s.Step(dispatch.FetchEnded{})
 	raw, err := cbor.Marshal(have)
 	if err != nil {
@@ -156,17 +156,17 @@
 	}
 	var t *routing.Table
 	if len(c.TableRaw) > 0 {
-		if t, err = s.src.Table(c.TableRaw); err != nil {
+		if t, err = s.source.Table(c.TableRaw); err != nil {
 			s.log.Warn().Err(err).Str("peer", string(from)).Msg("table-unreadable")
 			return
 		}
 	}
-	s.do(func(now time.Time) { s.adopt(from, c, t, len(raw), now) })
+	s.enqueue(func(now time.Time) { s.applyPeerContent(from, c, t, len(raw), now) })
 }
 
 // adopt takes a peer's content where it is ahead of the own.
-func (s *Steerer) adopt(from wire.NodeID, c content, t *routing.Table, bytes int, now time.Time) {
-	before := s.number()
+func (s *RoutedController) applyPeerContent(from wire.NodeID, c content, t *routing.Table, bytes int, now time.Time) {
+	before := s.tableVersion()
 	if t != nil {
 		s.view.SetTable(t, c.TableRaw, c.TableRev)
 	}
@@ -177,32 +177,32 @@
 	if c.Base <= s.view.AsOf {
 		s.enterEra(c.AsOf, list, now)
 		s.view.ReplaceEvacuations(evacuationsOf(c.Places), c.AsOf, now)
-		s.takeEntries(c, list, now)
+		s.applyPeerEntries(c, list, now)
 		s.view.Revision = max(s.view.Revision, c.Revision)
 	}
 	s.asOf.Store(s.view.AsOf)
 	s.publish(now)
-	s.log.Info().Str("peer", string(from)).Uint64("version", s.number()).Uint64("before", before).Uint64("revision", c.Revision).
+	s.log.Info().Str("peer", string(from)).Uint64("version", s.tableVersion()).Uint64("before", before).Uint64("revision", c.Revision).
 		Uint64("since", c.Base).Int("entries", len(list)).Int("removed", len(c.Removed)).Int("bytes", bytes).Msg("content-from-peer")
 	s.checkSum(from, c, now)
 }
 
-// takeEntries takes the entries of a peer's content.
-func (s *Steerer) takeEntries(c content, list []routing.Instance, now time.Time) {
+// applyPeerEntries takes the entries of a peer's content.
+func (s *RoutedController) applyPeerEntries(c content, list []routing.Instance, now time.Time) {
 	switch {
 	case c.Base == 0:
-		s.wantsWhole = s.wantsWhole && c.AsOf < s.view.AsOf // an older list is not taken
+		s.needsFullContent = s.needsFullContent && c.AsOf < s.view.AsOf // an older list is not taken
 		s.view.Replace(list, c.AsOf, now)
 	case c.AsOf > s.view.AsOf:
-		s.applyChanges(list, c.Removed, c.AsOf, now)
+		s.applyPeerChanges(list, c.Removed, c.AsOf, now)
 	}
 	for _, l := range c.Lapsing {
 		s.view.Lapse(routing.Lapse{ID: l.ID, For: time.Duration(l.ForMS) * time.Millisecond}, c.AsOf, now)
 	}
 }
 
-// applyChanges takes what a peer knows of changes up to a revision.
-func (s *Steerer) applyChanges(put []routing.Instance, removed []string, asOf uint64, now time.Time) {
+// applyPeerChanges takes what a peer knows of changes up to a revision.
+func (s *RoutedController) applyPeerChanges(put []routing.Instance, removed []string, asOf uint64, now time.Time) {
 	for _, i := range put {
 		s.view.Put(i, asOf)
 	}
@@ -214,15 +214,15 @@
 
 // checkSum compares the list that results from a peer's changes with the peer's own. Where
 // they differ, something was missed before: all of it is read, from another router.
-func (s *Steerer) checkSum(from wire.NodeID, c content, now time.Time) {
+func (s *RoutedController) checkSum(from wire.NodeID, c content, now time.Time) {
 	if c.Base == 0 || c.Base > s.view.AsOf || c.AsOf != s.view.AsOf || c.Sum == s.view.Sum() {
 		return
 	}
 	other := s.node.Another(from, now)
 	s.log.Warn().Str("peer", string(from)).Uint64("as_of", c.AsOf).Str("reads_from", string(other)).Msg("content-differs")
-	s.wantsWhole = true
+	s.needsFullContent = true
 	if other != "" {
-		go s.fetch(other, s.have())
+		go s.fetchContent(other, s.knownRevision())
 	}
 }
 
@@ -233,13 +233,13 @@
 	return out
 }
 
-// deltaMost is how many entries a change told by datagram may hold: more do not fit well
+// maxDeltaEntries is how many entries a change told by datagram may hold: more do not fit well
 // into one, and are read by those who are told of the revision.
-const deltaMost = 200
+const maxDeltaEntries = 200
 
 // told is a change as it is told by datagram.
-func told(d *wire.StoreDelta) *wire.StoreDelta {
-	if d == nil || len(d.Put)+len(d.Removed) <= deltaMost {
+func announcedDelta(d *wire.StoreDelta) *wire.StoreDelta {
+	if d == nil || len(d.Put)+len(d.Removed) <= maxDeltaEntries {
 		return d
 	}
 	return &wire.StoreDelta{From: d.From, To: d.To, Table: true}
--- a/internal/process/peercontent_test.go
+++ b/internal/process/peercontent_test.go
@@ -19,9 +19,9 @@
 )
 
 // viewer is a router's view without its network.
-func viewer(t *testing.T) *Steerer {
+func newTestController(t *testing.T) *RoutedController {
 	t.Helper()
-	return NewSteerer(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
+	return NewRoutedController(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
 }
 
 func manyInstances(n int) (out []routing.Instance) {
@@ -50,132 +50,132 @@
 }
 
 // carry takes what one router gives another, as it is encoded, and returns its bytes.
-func carry(t *testing.T, from, to *Steerer, table *routing.Table) int {
+func transferContent(t *testing.T, from, to *RoutedController, table *routing.Table) int {
 	t.Helper()
 	now := from.now()
-	raw, err := cbor.Marshal(from.contentFor(to.have(), now))
+	raw, err := cbor.Marshal(from.contentFor(to.knownRevision(), now))
 	require.NoError(t, err)
 	var c content
 	require.NoError(t, cbor.Unmarshal(raw, &c))
 	if len(c.TableRaw) == 0 {
 		table = nil
 	}
-	to.adopt("peer", c, table, len(raw), now)
+	to.applyPeerContent("peer", c, table, len(raw), now)
 	return len(raw)
 }
 
 // A router that knows the list and lacks a table reads the table alone. Before, it read all
 // entries with it: half a megabyte before 6,000 upstreams, at each of 585 routers.
-func TestPeerGivesWhatIsLacking(t *testing.T) {
-	a, b := viewer(t), viewer(t)
+func TestPeerSendsOnlyMissingContent(t *testing.T) {
+	a, b := newTestController(t), newTestController(t)
 	now := a.now()
 	first, second := builtTable(t, 1), builtTable(t, 2)
 	list := manyInstances(6000)
-	a.take(listing(10, first, list), true, false, now)
-	whole := carry(t, a, b, first)
+	a.applyListing(listing(10, first, list), true, false, now)
+	whole := transferContent(t, a, b, first)
 	assert.Greater(t, whole, 200_000)
 	assert.Equal(t, a.view.Instances(), b.view.Instances())
 
-	a.take(listing(11, second, list[:1]), false, false, now)
-	assert.Less(t, carry(t, a, b, second), 500)
-	assert.Equal(t, uint64(2), b.number())
+	a.applyListing(listing(11, second, list[:1]), false, false, now)
+	assert.Less(t, transferContent(t, a, b, second), 500)
+	assert.Equal(t, uint64(2), b.tableVersion())
 
-	a.take(Listing{AsOf: 14, Changes: []Change{{Revision: 12, Removed: list[5].ID}, {Revision: 13, Put: &routing.Instance{ID: "new", Service: "llm", Address: "10.3.0.1:1"}}}}, false, false, now)
-	assert.Less(t, carry(t, a, b, nil), 500)
+	a.applyListing(Listing{AsOf: 14, Changes: []Change{{Revision: 12, Removed: list[5].ID}, {Revision: 13, Put: &routing.Instance{ID: "new", Service: "llm", Address: "10.3.0.1:1"}}}}, false, false, now)
+	assert.Less(t, transferContent(t, a, b, nil), 500)
 	assert.Equal(t, a.view.Instances(), b.view.Instances())
 	assert.Len(t, b.view.Instances(), 6000)
-	assert.False(t, b.wantsWhole)
+	assert.False(t, b.needsFullContent)
 }
 
 // A new table that names the same services leaves the list of upstreams alone: at a fifth of
 // a core going through 6,000 of them took a quarter of a second, in which the router refused
 // callers. One that names another service lets its upstreams in.
-func TestNewTableIsTakenWithoutTheList(t *testing.T) {
-	s := viewer(t)
+func TestNewTableWithSameServicesKeepsInstances(t *testing.T) {
+	s := newTestController(t)
 	now := s.now()
 	list := append(manyInstances(3), routing.Instance{ID: "x", Service: "other", Address: "10.4.0.1:1"})
-	s.take(listing(10, builtTable(t, 1), list), true, false, now)
+	s.applyListing(listing(10, builtTable(t, 1), list), true, false, now)
 	upstreams := func() int { return len(s.statusAt(now).Upstreams) }
 	assert.Equal(t, 3, upstreams())
-	s.take(listing(11, builtTable(t, 2), nil), false, false, now)
-	assert.Equal(t, uint64(2), s.number())
+	s.applyListing(listing(11, builtTable(t, 2), nil), false, false, now)
+	assert.Equal(t, uint64(2), s.tableVersion())
 	assert.Equal(t, 3, upstreams())
 	assert.Equal(t, uint64(2), s.Table().Number)
 	both, err := (&routing.Builder{Number: 3, Services: []*routing.Service{{Name: "llm"}, {Name: "other"}}}).Build()
 	require.NoError(t, err)
-	s.take(listing(12, both, nil), false, false, now)
+	s.applyListing(listing(12, both, nil), false, false, now)
 	assert.Equal(t, 4, upstreams())
 	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: list[3]}))
-	s.take(listing(13, builtTable(t, 4), nil), false, false, now)
+	s.applyListing(listing(13, builtTable(t, 4), nil), false, false, now)
 	assert.Equal(t, 3, upstreams())
 }
 
 // A router that has missed something notices it by the checksum of the list, and reads all.
-func TestDifferenceThatDoesNotFitIsReadWhole(t *testing.T) {
-	a, b := viewer(t), viewer(t)
+func TestChecksumMismatchTriggersFullRead(t *testing.T) {
+	a, b := newTestController(t), newTestController(t)
 	now := a.now()
 	table := builtTable(t, 1)
-	a.take(listing(10, table, manyInstances(20)), true, false, now)
-	b.take(listing(10, table, manyInstances(19)), true, false, now) // it lacks one, and does not know
-	a.take(listing(11, nil, []routing.Instance{{ID: "new", Service: "llm"}}), false, false, now)
-	carry(t, a, b, nil)
-	assert.True(t, b.wantsWhole)
-	assert.Equal(t, held{TableRev: 10}, b.have())
-	carry(t, a, b, nil)
-	assert.False(t, b.wantsWhole)
+	a.applyListing(listing(10, table, manyInstances(20)), true, false, now)
+	b.applyListing(listing(10, table, manyInstances(19)), true, false, now) // it lacks one, and does not know
+	a.applyListing(listing(11, nil, []routing.Instance{{ID: "new", Service: "llm"}}), false, false, now)
+	transferContent(t, a, b, nil)
+	assert.True(t, b.needsFullContent)
+	assert.Equal(t, contentRevision{TableRev: 10}, b.knownRevision())
+	transferContent(t, a, b, nil)
+	assert.False(t, b.needsFullContent)
 	assert.Equal(t, a.view.Instances(), b.view.Instances())
 }
 
 // A whole list that is older than what a router knows is not taken, and does not settle that
 // something was missed: it did, and the router never read the list again.
-func TestOlderListDoesNotSettleADifference(t *testing.T) {
-	a, b := viewer(t), viewer(t)
+func TestOlderContentLeavesFullReadPending(t *testing.T) {
+	a, b := newTestController(t), newTestController(t)
 	now := a.now()
-	a.take(listing(10, builtTable(t, 1), manyInstances(3)), true, false, now)
-	older := a.contentFor(held{}, now)
-	b.take(listing(20, builtTable(t, 1), manyInstances(2)), true, false, now)
-	b.wantsWhole = true
-	b.adopt("peer", *older, nil, 0, now)
-	assert.True(t, b.wantsWhole)
+	a.applyListing(listing(10, builtTable(t, 1), manyInstances(3)), true, false, now)
+	older := a.contentFor(contentRevision{}, now)
+	b.applyListing(listing(20, builtTable(t, 1), manyInstances(2)), true, false, now)
+	b.needsFullContent = true
+	b.applyPeerContent("peer", *older, nil, 0, now)
+	assert.True(t, b.needsFullContent)
 	assert.Len(t, b.view.Instances(), 2)
 }
 
 // A router that starts just after a place was evacuated was given what had been packed for
 // another one before that, said that it was ready, and sent requests there.
-func TestPackedContentIsNoOlderThanTheView(t *testing.T) {
-	s := viewer(t)
+func TestCachedContentIsNoOlderThanView(t *testing.T) {
+	s := newTestController(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go s.Run(ctx)
 	places := func() int {
 		var c content
-		require.NoError(t, cbor.Unmarshal(s.Packed(conn.Question{}), &c))
+		require.NoError(t, cbor.Unmarshal(s.PackedContent(conn.Question{}), &c))
 		return len(c.Places)
 	}
-	s.TakeListing(listing(10, builtTable(t, 1), manyInstances(2)), true, false)
+	s.ApplyListing(listing(10, builtTable(t, 1), manyInstances(2)), true, false)
 	assert.Zero(t, places())
-	s.TakeListing(Listing{AsOf: 11, Changes: []Change{{Revision: 11, Place: &PlaceChange{Place: "p", Evacuated: true}}}}, false, false)
-	_, _ = ask(&s.controlLoop, time.Second, func(time.Time) bool { return true }) // it has been taken
+	s.ApplyListing(Listing{AsOf: 11, Changes: []Change{{Revision: 11, Place: &PlaceChange{Place: "p", Evacuated: true}}}}, false, false)
+	_, _ = query(&s.controlLoop, time.Second, func(time.Time) bool { return true }) // it has been taken
 	assert.Equal(t, 1, places())
 }
 
 // Changes since a revision that a router does not have say nothing to it.
-func TestDifferenceWithoutItsBaseIsNotTaken(t *testing.T) {
-	a := viewer(t)
+func TestDeltaWithUnknownBaseIsIgnored(t *testing.T) {
+	a := newTestController(t)
 	now := a.now()
-	a.take(listing(10, builtTable(t, 1), manyInstances(3)), true, false, now)
-	a.adopt("peer", content{Revision: 30, AsOf: 30, Base: 20, Removed: []string{"i-00000000"}}, nil, 0, now)
+	a.applyListing(listing(10, builtTable(t, 1), manyInstances(3)), true, false, now)
+	a.applyPeerContent("peer", content{Revision: 30, AsOf: 30, Base: 20, Removed: []string{"i-00000000"}}, nil, 0, now)
 	assert.Len(t, a.view.Instances(), 3)
 	assert.Equal(t, uint64(10), a.view.AsOf)
 }
 
 // A release of hundreds of upstreams at once does not fit into a datagram: routers are told
 // of the revision, and read it.
-func TestLargeChangeIsReadAndNotTold(t *testing.T) {
-	l := listing(12, nil, manyInstances(deltaMost+1))
-	assert.Equal(t, &wire.StoreDelta{From: 10, To: 12, Table: true}, told(deltaOf(l, false, 10)))
-	few := told(deltaOf(listing(12, nil, manyInstances(deltaMost)), false, 10))
-	require.Len(t, few.Put, deltaMost)
+func TestLargeDeltaIsFetchedNotAnnounced(t *testing.T) {
+	l := listing(12, nil, manyInstances(maxDeltaEntries+1))
+	assert.Equal(t, &wire.StoreDelta{From: 10, To: 12, Table: true}, announcedDelta(deltaOf(l, false, 10)))
+	few := announcedDelta(deltaOf(listing(12, nil, manyInstances(maxDeltaEntries)), false, 10))
+	require.Len(t, few.Put, maxDeltaEntries)
 	raw, err := wire.Encode(&wire.Datagram{Work: &wire.Work{Delta: few}})
 	require.NoError(t, err)
 	assert.Less(t, len(raw), wire.MaxDatagram)
@@ -184,26 +184,26 @@
 // An entry that was missing from a listing after an outage was given time by the router that
 // listed, and kept for good by those that read from it: when it was dropped there, no revision
 // told of that.
-func TestPeersDropWhatTheListingAfterAnOutageDidNotHave(t *testing.T) {
+func TestPeersDropInstancesMissingAfterOutage(t *testing.T) {
 	inNextEra, ok := routing.RevisionIn(1, 8)
 	require.True(t, ok)
 	for name, asOf := range map[string]uint64{"history gone": 30, "store restored": inNextEra} {
 		t.Run(name, func(t *testing.T) {
-			a, b, late := viewer(t), viewer(t), viewer(t)
+			a, b, late := newTestController(t), newTestController(t), newTestController(t)
 			now := a.now()
 			list := manyInstances(3)
-			a.take(listing(10, builtTable(t, 1), list), true, false, now)
-			carry(t, a, b, builtTable(t, 1))
-			carry(t, a, late, builtTable(t, 1))
-			a.take(listing(asOf, nil, list[1:]), true, true, now)
+			a.applyListing(listing(10, builtTable(t, 1), list), true, false, now)
+			transferContent(t, a, b, builtTable(t, 1))
+			transferContent(t, a, late, builtTable(t, 1))
+			a.applyListing(listing(asOf, nil, list[1:]), true, true, now)
 			assert.Equal(t, asOf, a.view.Revision, "what is missing is a change that peers are told of")
-			carry(t, a, b, nil)
-			for _, s := range []*Steerer{a, b} {
+			transferContent(t, a, b, nil)
+			for _, s := range []*RoutedController{a, b} {
 				assert.Len(t, s.view.Instances(), 3, "it is given time")
 				s.view.Tick(now.Add(2 * routing.LapseGrace))
 				assert.Len(t, s.view.Instances(), 2)
 			}
-			carry(t, a, late, nil)
+			transferContent(t, a, late, nil)
 			assert.Len(t, late.view.Instances(), 2, "it reads after that")
 		})
 	}
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -28,10 +28,10 @@
 const HeaderRevision = "X-Revision"
 
 const (
-	watchFor     = 25 * time.Second
-	watchSlack   = 10 * time.Second
-	retryPause   = time.Second
-	longestPause = 10 * time.Second
+	platformWatchTimeout  = 25 * time.Second
+	platformClientSlack   = 10 * time.Second
+	minPlatformRetryPause = time.Second
+	maxPlatformRetryPause = 10 * time.Second
 )
 
 // VM is one entry of the VM list.
@@ -52,30 +52,30 @@
 
 // Platform reads the platform's values by long polls.
 type Platform struct {
-	base   string
-	client *http.Client
-	drv    *Driver
-	log    zerolog.Logger
-	calls  metrics.Counter
-	fails  metrics.Counter
+	base     string
+	client   *http.Client
+	ctrl     *AppController
+	log      zerolog.Logger
+	calls    metrics.Counter
+	failures metrics.Counter
 }
 
 // NewPlatform returns a reader of the platform at a base URL.
-func NewPlatform(base string, drv *Driver, log zerolog.Logger, reg metrics.Registry) *Platform {
+func NewPlatform(base string, ctrl *AppController, log zerolog.Logger, reg metrics.Registry) *Platform {
 	return &Platform{
-		base:   base,
-		client: &http.Client{Transport: &http.Transport{Proxy: nil}, Timeout: watchFor + watchSlack},
-		drv:    drv,
-		log:    log,
-		calls:  metrics.GetOrRegisterCounter("platform.calls", reg),
-		fails:  metrics.GetOrRegisterCounter("platform.failures", reg),
+		base:     base,
+		client:   &http.Client{Transport: &http.Transport{Proxy: nil}, Timeout: platformWatchTimeout + platformClientSlack},
+		ctrl:     ctrl,
+		log:      log,
+		calls:    metrics.GetOrRegisterCounter("platform.calls", reg),
+		failures: metrics.GetOrRegisterCounter("platform.failures", reg),
 	}
 }
 
 // WatchConfiguration offers each published version to the driver, while this
 // router is one of its place's readers.
 func (p *Platform) WatchConfiguration(ctx context.Context) {
-	p.watch(ctx, ValueConfiguration, p.drv.Watches, p.drv.Offer)
+	p.watch(ctx, ValueConfiguration, p.ctrl.Watches, p.ctrl.OfferVersion)
 }
 
 // WatchVMs keeps the driver's roster and leaving upstreams up to date.
@@ -87,13 +87,13 @@
 			p.log.Warn().Err(err).Msg("vm-list-unreadable")
 			return
 		}
-		p.takeList(list, leaving)
+		p.applyVMList(list, leaving)
 	})
 }
 
-// takeList hands the list to the core. leaving remembers which upstreams the
+// applyVMList hands the list to the core. leaving remembers which upstreams the
 // list called leaving, so that only the list takes that back.
-func (p *Platform) takeList(list VMList, leaving map[string]bool) {
+func (p *Platform) applyVMList(list VMList, leaving map[string]bool) {
 	var routers []wire.NodeID
 	for _, vm := range list.VMs {
 		if vm.Role == "router" {
@@ -102,18 +102,18 @@
 		}
 		if vm.State == "leaving" {
 			leaving[vm.Address] = true
-			p.drain(vm.Address, true)
+			p.drainAddress(vm.Address, true)
 		} else if leaving[vm.Address] {
 			delete(leaving, vm.Address)
-			p.drain(vm.Address, false)
+			p.drainAddress(vm.Address, false)
 		}
 	}
-	p.drv.Step(core.Roster{Routers: routers})
+	p.ctrl.Step(core.Roster{Routers: routers})
 }
 
 // drain marks every upstream at an address. A VM may serve several.
-func (p *Platform) drain(addr string, leaving bool) {
-	v := p.drv.Version()
+func (p *Platform) drainAddress(addr string, leaving bool) {
+	v := p.ctrl.Version()
 	if v == nil {
 		return
 	}
@@ -122,9 +122,9 @@
 			continue
 		}
 		if leaving {
-			p.drv.Step(core.Drain{Upstream: id, Firm: true})
+			p.ctrl.Step(core.Drain{Upstream: id, Firm: true})
 		} else {
-			p.drv.Step(core.Undrain{Upstream: id})
+			p.ctrl.Step(core.Undrain{Upstream: id})
 		}
 	}
 }
@@ -132,21 +132,21 @@
 // watch reads a value again and again while wanted, and hands on each new one.
 func (p *Platform) watch(ctx context.Context, name string, wanted func() bool, take func([]byte)) {
 	after := ""
-	pause := retryPause
+	pause := minPlatformRetryPause
 	for ctx.Err() == nil {
 		if !wanted() {
-			sleep(ctx, retryPause)
+			sleep(ctx, minPlatformRetryPause)
 			continue
 		}
 		raw, rev, err := p.read(ctx, name, after)
 		if err != nil {
-			p.fails.Inc(1)
+			p.failures.Inc(1)
 			p.log.Debug().Err(err).Str("value", name).Msg("platform-read-failed")
 			sleep(ctx, pause)
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxPlatformRetryPause)
 			continue
 		}
-		pause = retryPause
+		pause = minPlatformRetryPause
 		if raw != nil {
 			after = rev
 			take(raw)
@@ -157,7 +157,7 @@
 // read returns the value newer than a revision, or nil after the wait.
 func (p *Platform) read(ctx context.Context, name, after string) ([]byte, string, error) {
 	p.calls.Inc(1)
-	q := url.Values{"wait": {strconv.Itoa(int(watchFor.Seconds()))}}
+	q := url.Values{"wait": {strconv.Itoa(int(platformWatchTimeout.Seconds()))}}
 	if after != "" {
 		q.Set("after", after)
 	}
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -9,9 +9,9 @@
 	"github.com/rs/zerolog"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal.
-const settingsEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // reloadable are the fields of Settings that a running process takes; all others
 // wait for a restart.
@@ -21,9 +21,9 @@
 // has changed, and applies what may change in a running process. A file with
 // faults is reported and changes nothing. It returns when the channel is closed.
 func WatchSettings(path string, set Settings, hangups <-chan os.Signal, apply func(Settings), log zerolog.Logger) {
-	tick := time.NewTicker(settingsEvery)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	last := stamp(path)
+	last := fileStamp(path)
 	for {
 		select {
 		case _, open := <-hangups:
@@ -31,17 +31,17 @@
 				return
 			}
 		case <-tick.C:
-			if stamp(path) == last {
+			if fileStamp(path) == last {
 				continue
 			}
 		}
-		last = stamp(path)
-		set = reload(path, set, apply, log)
+		last = fileStamp(path)
+		set = reloadSettings(path, set, apply, log)
 	}
 }
 
 // stamp tells one state of a file from another.
-func stamp(path string) (s struct {
+func fileStamp(path string) (s struct {
 	at   time.Time
 	size int64
 }) {
@@ -52,13 +52,13 @@
 }
 
 // reload returns the settings in force after reading the file again.
-func reload(path string, set Settings, apply func(Settings), log zerolog.Logger) Settings {
+func reloadSettings(path string, set Settings, apply func(Settings), log zerolog.Logger) Settings {
 	next, err := LoadSettings(path)
 	if err != nil {
 		log.Error().Err(err).Msg("settings-rejected")
 		return set
 	}
-	changed, waiting := differences(set, next)
+	changed, waiting := diffSettings(set, next)
 	if len(changed) > 0 {
 		if level, err := zerolog.ParseLevel(next.LogLevel); err == nil {
 			zerolog.SetGlobalLevel(level)
@@ -71,7 +71,7 @@
 
 // differences names the fields that differ: those that a running process takes,
 // and those that wait.
-func differences(a, b Settings) (changed, waiting []string) {
+func diffSettings(a, b Settings) (changed, waiting []string) {
 	va, vb := reflect.ValueOf(a), reflect.ValueOf(b)
 	for i := range va.NumField() {
 		if reflect.DeepEqual(va.Field(i).Interface(), vb.Field(i).Interface()) {
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSettingsAreReadAgain(t *testing.T) {
+func TestReloadAppliesOnlyValidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.ini")
 	write := func(from, to string) {
 		require.Contains(t, Defaults, from)
@@ -25,7 +25,7 @@
 	var log bytes.Buffer
 	var applied []Settings
 	step := func() {
-		set = reload(path, set, func(s Settings) { applied = append(applied, s) }, zerolog.New(&log))
+		set = reloadSettings(path, set, func(s Settings) { applied = append(applied, s) }, zerolog.New(&log))
 	}
 	step()
 	assert.Empty(t, applied, "nothing has changed")
--- a/internal/process/lag_test.go
+++ b/internal/process/schedlag_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLagIsTheMeanWaitOfLate(t *testing.T) {
-	var l lagMeter
+func TestSchedLagIsRecentMeanWait(t *testing.T) {
+	var l schedLagMeter
 	buckets := []float64{math.Inf(-1), 0.001, 0.003, math.Inf(1)}
-	l.take(buckets, []uint64{1000, 0, 0})
+	l.update(buckets, []uint64{1000, 0, 0})
 	assert.Zero(t, l.lag(), "what was before the start does not count")
 	for i := range uint64(40) {
-		l.take(buckets, []uint64{1000, 10 * (i + 1), 0})
+		l.update(buckets, []uint64{1000, 10 * (i + 1), 0})
 	}
 	assert.InDelta(t, float64(2*time.Millisecond), float64(l.lag()), float64(10*time.Microsecond))
 	for range 40 {
-		l.take(buckets, []uint64{1000, 400, 0})
+		l.update(buckets, []uint64{1000, 400, 0})
 	}
 	assert.Less(t, l.lag(), 10*time.Microsecond, "nothing waits any more")
 }
--- a/internal/process/sent.go
+++ b/internal/process/sentmetrics.go
@@ -14,43 +14,43 @@
 type purpose int
 
 const (
-	forChanges purpose = iota // of the store's content
-	forAnswers                // of a scheduler
-	forAsks                   // to a scheduler
-	forNotes                  // of the ends of requests
-	forRegular                // regular messages
-	forRest                   // membership and requests that crash upstreams
-	purposes
+	purposeChanges    purpose = iota // of the store's content
+	purposeReplies                   // of a scheduler
+	purposeRequests                  // to a scheduler
+	purposeProgress                  // of the ends of requests
+	purposeHeartbeat                 // regular messages
+	purposeMembership                // membership and requests that crash upstreams
+	purposeCount
 )
 
 // names of the purposes in metrics.
-var purposeNames = [purposes]string{"changes", "answers", "asks", "notes", "regular", "membership"}
+var purposeNames = [purposeCount]string{"changes", "answers", "asks", "notes", "regular", "membership"}
 
 func purposeOf(d *wire.Datagram) purpose {
 	w := d.Work
 	switch {
 	case w == nil:
-		return forRest
+		return purposeMembership
 	case w.Delta != nil:
-		return forChanges
+		return purposeChanges
 	case len(w.Answers) > 0:
-		return forAnswers
+		return purposeReplies
 	case len(w.Asks) > 0:
-		return forAsks
+		return purposeRequests
 	case len(w.Notes) > 0:
-		return forNotes
+		return purposeProgress
 	}
-	return forRegular
+	return purposeHeartbeat
 }
 
-// sentCounts are the totals since the start.
-type sentCounts struct {
-	bytes, datagrams [purposes]metrics.Counter
+// sentMetrics are the totals since the start.
+type sentMetrics struct {
+	bytes, datagrams [purposeCount]metrics.Counter
 	otherPlaces      metrics.Counter // bytes to routers of other places
 }
 
-func newSentCounts(reg metrics.Registry) sentCounts {
-	var c sentCounts
+func newSentMetrics(reg metrics.Registry) sentMetrics {
+	var c sentMetrics
 	for p, name := range purposeNames {
 		c.bytes[p] = metrics.GetOrRegisterCounter("control.sent."+name+".bytes", reg)
 		c.datagrams[p] = metrics.GetOrRegisterCounter("control.sent."+name+".datagrams", reg)
@@ -60,7 +60,7 @@
 }
 
 // log writes the totals.
-func (c *sentCounts) log(log zerolog.Logger) {
+func (c *sentMetrics) log(log zerolog.Logger) {
 	e := log.Info()
 	for p, name := range purposeNames {
 		e.Int64(name+"_bytes", c.bytes[p].Count()).Int64(name, c.datagrams[p].Count())
@@ -69,7 +69,7 @@
 }
 
 // count takes a datagram that was sent.
-func (c *sentCounts) count(d *wire.Datagram, bytes int, near bool) {
+func (c *sentMetrics) count(d *wire.Datagram, bytes int, near bool) {
 	p := purposeOf(d)
 	c.bytes[p].Inc(int64(bytes))
 	c.datagrams[p].Inc(1)
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -61,9 +61,9 @@
 
 // Bounds of the settings.
 const (
-	minBytes  = 1 << 10
-	maxBytes  = 256 << 20
-	maxPeriod = time.Hour
+	minByteLimit = 1 << 10
+	maxByteLimit = 256 << 20
+	maxDuration  = time.Hour
 )
 
 // Defaults is a settings file with every key; those that have no default are to
@@ -176,55 +176,55 @@
 // ParseSettings checks the text of a settings file; all faults are returned.
 func ParseSettings(file, text string) (Settings, error) {
 	var faults inifile.Faults
-	r := reader{found: map[string]*inifile.Section{}, file: file, faults: &faults}
+	r := settingsReader{sections: map[string]*inifile.Section{}, file: file, faults: &faults}
 	for _, s := range inifile.Parse(file, text, &faults) {
-		r.found[s.Name] = s
+		r.sections[s.Name] = s
 	}
 	s := r.read()
-	r.refuseOthers()
+	r.rejectUnknownSections()
 	return s, faults.OrNil()
 }
 
 // reader reads the sections of a settings file.
-type reader struct {
-	file   string
-	found  map[string]*inifile.Section
-	asked  []string
-	faults *inifile.Faults
+type settingsReader struct {
+	file      string
+	sections  map[string]*inifile.Section
+	requested []string
+	faults    *inifile.Faults
 }
 
-func (r *reader) section(name string) *inifile.Section {
-	r.asked = append(r.asked, name)
-	if s := r.found[name]; s != nil {
+func (r *settingsReader) section(name string) *inifile.Section {
+	r.requested = append(r.requested, name)
+	if s := r.sections[name]; s != nil {
 		return s
 	}
 	return inifile.New(r.file, name, map[string]string{}, r.faults)
 }
 
-func (r *reader) refuseOthers() {
-	for name, s := range r.found {
+func (r *settingsReader) rejectUnknownSections() {
+	for name, s := range r.sections {
 		known := false
-		for _, a := range r.asked {
+		for _, a := range r.requested {
 			known = known || a == name
 		}
 		if !known {
-			s.Fault("", "", "only the sections "+strings.Join(r.asked, ", "))
+			s.Fault("", "", "only the sections "+strings.Join(r.requested, ", "))
 		}
 	}
 	sort.SliceStable(*r.faults, func(i, j int) bool { return (*r.faults)[i].Error() < (*r.faults)[j].Error() })
 }
 
-func (r *reader) read() Settings {
+func (r *settingsReader) read() Settings {
 	var s Settings
 	r.readRouter(&s)
 	r.readFleet(&s)
 	r.readTLS(&s)
 	r.readLimits(&s)
-	r.readRest(&s)
+	r.readLogTraceStop(&s)
 	return s
 }
 
-func (r *reader) readRouter(s *Settings) {
+func (r *settingsReader) readRouter(s *Settings) {
 	sec := r.section("router")
 	s.Peer = sec.Address("peer_address")
 	s.Place = sec.Text("place")
@@ -243,7 +243,7 @@
 	return strings.TrimSuffix(text, "/")
 }
 
-func (r *reader) readFleet(s *Settings) {
+func (r *settingsReader) readFleet(s *Settings) {
 	sec := r.section("fleet")
 	if sec.Has("seeds") && sec.TextOr("seeds", "") != "" {
 		for _, a := range sec.List("seeds") {
@@ -282,7 +282,7 @@
 )
 
 // readRouted reads what only the routed interface uses.
-func (r *reader) readRouted(s *Settings) {
+func (r *settingsReader) readRouted(s *Settings) {
 	ready := r.section("ready")
 	if ready.TextOr("address", "") != "" {
 		s.Ready = ready.Address("address")
@@ -301,7 +301,7 @@
 	def := dispatch.DefaultRetryRules
 	s.Retry = dispatch.RetryRules{
 		Ratio:  retry.Number("ratio", def.Ratio, 0, 10),
-		Window: retry.Duration("window", def.Window, 100*time.Millisecond, maxPeriod),
+		Window: retry.Duration("window", def.Window, 100*time.Millisecond, maxDuration),
 		Slack:  int(retry.Number("slack", float64(def.Slack), 0, 1_000_000)),
 	}
 	retry.Done()
@@ -324,7 +324,7 @@
 	machine.Done()
 }
 
-func (r *reader) readTLS(s *Settings) {
+func (r *settingsReader) readTLS(s *Settings) {
 	sec := r.section("tls")
 	s.CertFile = sec.TextOr("certificate", "")
 	s.KeyFile = sec.TextOr("key", "")
@@ -332,33 +332,33 @@
 	if (s.CertFile == "") != (s.KeyFile == "") {
 		sec.Fault("key", s.KeyFile, "certificate and key together, or neither")
 	}
-	if s.CertFile == "" && !s.PlainOK && !loopback(s.Callers) {
+	if s.CertFile == "" && !s.PlainOK && !isLoopback(s.Callers) {
 		sec.Fault("certificate", "", "a certificate, or plain_text_allowed = true, since caller_address "+s.Callers+" is not loopback")
 	}
 	sec.Done()
 }
 
-func loopback(addr string) bool {
+func isLoopback(addr string) bool {
 	ap, err := netip.ParseAddrPort(addr)
 	return err == nil && ap.Addr().IsLoopback()
 }
 
-func (r *reader) readLimits(s *Settings) {
+func (r *settingsReader) readLimits(s *Settings) {
 	sec := r.section("limits")
 	def := request.DefaultLimits
 	s.Limits = request.Limits{
-		Body:      int64(sec.Integer("body_bytes", int(def.Body), minBytes, maxBytes)),
-		Answer:    int64(sec.Integer("answer_bytes", int(def.Answer), minBytes, maxBytes)),
-		BodyTime:  sec.Duration("body_time", def.BodyTime, time.Millisecond, maxPeriod),
-		StallTime: sec.Duration("stall_time", def.StallTime, time.Millisecond, maxPeriod),
+		Body:      int64(sec.Integer("body_bytes", int(def.Body), minByteLimit, maxByteLimit)),
+		Answer:    int64(sec.Integer("answer_bytes", int(def.Answer), minByteLimit, maxByteLimit)),
+		BodyTime:  sec.Duration("body_time", def.BodyTime, time.Millisecond, maxDuration),
+		StallTime: sec.Duration("stall_time", def.StallTime, time.Millisecond, maxDuration),
 	}
-	s.Header = sec.Integer("header_bytes", 32<<10, minBytes, 1<<20)
-	s.HeadTime = sec.Duration("header_time", 10*time.Second, time.Millisecond, maxPeriod)
-	s.IdleTime = sec.Duration("idle_time", 2*time.Minute, time.Millisecond, maxPeriod)
+	s.Header = sec.Integer("header_bytes", 32<<10, minByteLimit, 1<<20)
+	s.HeadTime = sec.Duration("header_time", 10*time.Second, time.Millisecond, maxDuration)
+	s.IdleTime = sec.Duration("idle_time", 2*time.Minute, time.Millisecond, maxDuration)
 	sec.Done()
 }
 
-func (r *reader) readRest(s *Settings) {
+func (r *settingsReader) readLogTraceStop(s *Settings) {
 	log := r.section("log")
 	s.LogLevel = log.OneOf("level", "info", "debug", "info", "warn", "error")
 	log.Done()
@@ -371,7 +371,7 @@
 	s.Sample = tr.Number("ratio", 0.01, 0, 1)
 	tr.Done()
 	stop := r.section("stop")
-	s.Wait = stop.Duration("balancer_wait", 5*time.Second, 0, maxPeriod)
+	s.Wait = stop.Duration("balancer_wait", 5*time.Second, 0, maxDuration)
 	s.Bound = stop.Duration("bound", 0, 0, 24*time.Hour)
 	stop.Done()
 }
--- a/internal/process/turned.go
+++ b/internal/process/shedtotals.go
@@ -6,27 +6,27 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// turnedWork sums what the door refused, by service and organisation, so that a
+// shedTotals sums what the door refused, by service and organisation, so that a
 // flood of refusals costs the control goroutine nothing. It may be used by any
 // goroutine.
-type turnedWork struct {
+type shedTotals struct {
 	mu   sync.Mutex
-	sums map[turnedKey]float64
+	sums map[shedKey]float64
 }
 
-type turnedKey struct{ service, org string }
+type shedKey struct{ service, org string }
 
-func (t *turnedWork) add(w dispatch.TurnedWork) {
+func (t *shedTotals) add(w dispatch.TurnedWork) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sums == nil {
-		t.sums = map[turnedKey]float64{}
+		t.sums = map[shedKey]float64{}
 	}
-	t.sums[turnedKey{w.Service, w.Org}] += w.Tokens
+	t.sums[shedKey{w.Service, w.Org}] += w.Tokens
 }
 
 // take returns the sums since the last time.
-func (t *turnedWork) take() []dispatch.TurnedWork {
+func (t *shedTotals) take() []dispatch.TurnedWork {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []dispatch.TurnedWork
--- a/internal/process/handover.go
+++ b/internal/process/snapshot.go
@@ -12,12 +12,12 @@
 // What a scheduler knows passes to routers that may take over by JSON-RPC between peers:
 // for hundreds of organisations and engines it is too large for a datagram.
 
-// snapshotWait is how long a peer's question for the state waits for the control goroutine.
-const snapshotWait = time.Second
+// snapshotTimeout is how long a peer's question for the state waits for the control goroutine.
+const snapshotTimeout = time.Second
 
 // PackedSnapshot returns the state of the services of which this router is an heir, or nil.
-func (s *Steerer) PackedSnapshot(q conn.Question) []byte {
-	state, answered := ask(&s.controlLoop, snapshotWait, func(now time.Time) *wire.Snapshot { return s.node.Snapshot(wire.NodeID(q.Asker), now) })
+func (s *RoutedController) PackedSnapshot(q conn.Question) []byte {
+	state, answered := query(&s.controlLoop, snapshotTimeout, func(now time.Time) *wire.Snapshot { return s.node.Snapshot(wire.NodeID(q.Asker), now) })
 	if !answered {
 		return nil
 	}
@@ -31,7 +31,7 @@
 }
 
 // fetchSnapshot reads a scheduler's state from an heir.
-func (s *Steerer) fetchSnapshot(o dispatch.FetchSnapshot) {
+func (s *RoutedController) fetchSnapshot(o dispatch.FetchSnapshot) {
 	raw, err := conn.Fetch(context.Background(), conn.Question{Method: conn.MethodSnapshot, Asker: string(s.id)}, string(o.From), s.sealer)
 	if err != nil {
 		s.log.Info().Err(err).Str("peer", string(o.From)).Str("service", o.Service).Msg("snapshot-fetch-failed")
--- a/internal/process/source.go
+++ b/internal/process/source.go
@@ -9,9 +9,9 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// ErrHistory is a revision too old to watch from: the content is to be listed
+// ErrHistoryGone is a revision too old to watch from: the content is to be listed
 // again.
-var ErrHistory = errorx.NewNamespace("source").NewType("history")
+var ErrHistoryGone = errorx.NewNamespace("source").NewType("history")
 
 // Source reads the routing table and the list of instances where the platform
 // publishes them.
--- a/internal/process/content.go
+++ b/internal/process/storecontent.go
@@ -46,29 +46,29 @@
 	return now.Add(d)
 }
 
-// TakeListing takes content, or changes, from the source. whole says that what
+// ApplyListing takes content, or changes, from the source. whole says that what
 // is not listed is gone; back that the source had been away, so that entries may
 // have lapsed.
-func (s *Steerer) TakeListing(l Listing, whole, back bool) {
-	s.do(func(now time.Time) {
-		s.take(l, whole, back, now)
+func (s *RoutedController) ApplyListing(l Listing, whole, back bool) {
+	s.enqueue(func(now time.Time) {
+		s.applyListing(l, whole, back, now)
 	})
 }
 
-func (s *Steerer) take(l Listing, whole, back bool, now time.Time) {
-	before, revision, asOf := s.number(), s.view.Revision, s.view.AsOf
-	s.logOlder(l, whole)
+func (s *RoutedController) applyListing(l Listing, whole, back bool, now time.Time) {
+	before, revision, asOf := s.tableVersion(), s.view.Revision, s.view.AsOf
+	s.logOlderListing(l, whole)
 	var list []routing.Instance
 	var evacuated []routing.Evacuation
 	if whole {
-		list, evacuated = listed(l, now)
+		list, evacuated = splitListing(l, now)
 		back = s.enterEra(l.AsOf, list, now) || back
 	}
 	if back {
 		s.view.StoreReturned(now)
 	}
 	for _, c := range l.Changes {
-		s.takeChange(c, now)
+		s.applyChange(c, now)
 	}
 	if whole {
 		s.view.ReplaceEvacuations(evacuated, l.AsOf, now)
@@ -81,14 +81,14 @@
 	} else {
 		s.node.Step(dispatch.Seen{AsOf: s.view.AsOf}, now)
 	}
-	s.node.Step(dispatch.Sighted{Delta: told(deltaOf(l, whole, asOf)), Whole: whole, Back: back}, now)
-	if after := s.number(); after != before {
+	s.node.Step(dispatch.Sighted{Delta: announcedDelta(deltaOf(l, whole, asOf)), Whole: whole, Back: back}, now)
+	if after := s.tableVersion(); after != before {
 		s.log.Info().Uint64("version", after).Uint64("before", before).Uint64("revision", s.view.TableRev).Msg("table-accepted")
 	}
 }
 
-// logOlder writes a line for content that is as of a lower revision than is known.
-func (s *Steerer) logOlder(l Listing, whole bool) {
+// logOlderListing writes a line for content that is as of a lower revision than is known.
+func (s *RoutedController) logOlderListing(l Listing, whole bool) {
 	if l.AsOf < s.view.AsOf {
 		s.log.Warn().Uint64("as_of", l.AsOf).Uint64("known", s.view.AsOf).Bool("whole", whole).Msg("source-older-than-known")
 	}
@@ -96,7 +96,7 @@
 
 // enterEra prepares the view for content of a later era than what it holds. It reports
 // whether it is.
-func (s *Steerer) enterEra(asOf uint64, list []routing.Instance, now time.Time) bool {
+func (s *RoutedController) enterEra(asOf uint64, list []routing.Instance, now time.Time) bool {
 	if s.view.AsOf == 0 || routing.EraOf(asOf) <= routing.EraOf(s.view.AsOf) {
 		return false
 	}
@@ -105,8 +105,8 @@
 	return true
 }
 
-// takeChange takes one change of the store's content.
-func (s *Steerer) takeChange(c Change, now time.Time) {
+// applyChange takes one change of the store's content.
+func (s *RoutedController) applyChange(c Change, now time.Time) {
 	switch {
 	case c.Err != nil:
 		s.log.Error().Err(c.Err).Uint64("revision", c.Revision).Msg("published-value-unreadable")
@@ -130,7 +130,7 @@
 }
 
 // listed returns the instances and evacuations of a whole listing.
-func listed(l Listing, now time.Time) (list []routing.Instance, evacuated []routing.Evacuation) {
+func splitListing(l Listing, now time.Time) (list []routing.Instance, evacuated []routing.Evacuation) {
 	for _, c := range l.Changes {
 		switch {
 		case c.Err != nil:
@@ -168,7 +168,7 @@
 }
 
 // apply takes changes that a peer has read from the store.
-func (s *Steerer) apply(o dispatch.Apply) {
+func (s *RoutedController) applyPeerDelta(o dispatch.Apply) {
 	if o.Delta.From > s.view.AsOf || o.Delta.To <= s.view.AsOf {
 		return // another source was faster
 	}
@@ -180,48 +180,48 @@
 	for _, e := range o.Delta.Put {
 		list = append(list, instanceOf(e, now))
 	}
-	s.applyChanges(list, o.Delta.Removed, o.Delta.To, now)
+	s.applyPeerChanges(list, o.Delta.Removed, o.Delta.To, now)
 	s.asOf.Store(s.view.AsOf)
 	s.publish(now)
 }
 
 // publish hands what has changed in the view to the node and to requests.
-func (s *Steerer) publish(now time.Time) {
+func (s *RoutedController) publish(now time.Time) {
 	changes, evacuated := s.view.TakeChanges(), s.view.Evacuations()
 	c := dispatch.Catalogue{Table: s.view.Table, Evacuated: evacuated, Revision: s.view.Revision, AsOf: s.view.AsOf}
-	tableChanged := s.view.Table != s.published
+	tableChanged := s.view.Table != s.publishedTable
 	if tableChanged && s.OnTable != nil {
 		s.OnTable(s.view.Table.Limits)
 	}
-	if tableChanged && !s.view.Table.SameServices(s.published) {
+	if tableChanged && !s.view.Table.SameServices(s.publishedTable) {
 		list := s.view.Instances()
 		c.Instances = list
-		s.publishUsable(list, evacuated)
-		clear(s.unnamed)
-		s.logUnnamed(list)
+		s.publishAvailability(list, evacuated)
+		clear(s.loggedUnknownService)
+		s.logUnknownServices(list)
 	} else {
 		c.Part, c.Instances, c.Ended = true, changes.Put, changes.Ended
-		s.updateUsable(changes, evacuated)
-		s.logUnnamed(changes.Put)
+		s.updateAvailability(changes, evacuated)
+		s.logUnknownServices(changes.Put)
 	}
-	s.published = s.view.Table
+	s.publishedTable = s.view.Table
 	s.publications.Add(1)
 	s.node.Step(c, now)
 	s.table.Store(s.view.Table)
-	s.judgeReady(now)
+	s.updateReady(now)
 }
 
-// logUnnamed writes a line for each entry whose service no table names: nothing is sent
+// logUnknownServices writes a line for each entry whose service no table names: nothing is sent
 // there.
-func (s *Steerer) logUnnamed(list []routing.Instance) {
+func (s *RoutedController) logUnknownServices(list []routing.Instance) {
 	if s.view.Table == nil {
 		return
 	}
 	for _, i := range list {
-		if s.view.Table.Services[i.Service] != nil || s.unnamed[i.Start()] {
+		if s.view.Table.Services[i.Service] != nil || s.loggedUnknownService[i.Start()] {
 			continue
 		}
-		s.unnamed[i.Start()] = true
-		s.log.Warn().Str("upstream", i.ID).Str("service", i.Service).Uint64("version", s.number()).Msg("service-not-in-table")
+		s.loggedUnknownService[i.Start()] = true
+		s.log.Warn().Str("upstream", i.ID).Str("service", i.Service).Uint64("version", s.tableVersion()).Msg("service-not-in-table")
 	}
 }
--- a/internal/process/suspend_test.go
+++ b/internal/process/suspension_test.go
@@ -15,23 +15,23 @@
 )
 
 // suspendable is a clock whose VM is suspended by the test.
-func suspendable() (*clock.Clock, *atomic.Int64) {
+func newSuspendableClock() (*clock.Clock, *atomic.Int64) {
 	var total atomic.Int64
 	return clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true }), &total
 }
 
 // A VM is suspended for five seconds. Go's monotonic clock does not count them: to a
 // router that goes by it no tick was late, and all that it believes of others seems new.
-func TestSuspensionIsAPause(t *testing.T) {
-	c, total := suspendable()
-	s := NewSteerer(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p", Retry: dispatch.DefaultRetryRules}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
+func TestSuspensionCountsAsPause(t *testing.T) {
+	c, total := newSuspendableClock()
+	s := NewRoutedController(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p", Retry: dispatch.DefaultRetryRules}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
 	s.clock = c
-	d := NewDriver(core.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, zerolog.Nop())
+	d := NewAppController(core.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, zerolog.Nop())
 	d.clock = c
 	s.tick(s.now())
 	d.tick(d.now())
 	total.Add(int64(5 * time.Second))
-	lookAtClock(c, zerolog.Nop())
+	refreshClock(c, zerolog.Nop())
 	s.tick(s.now())
 	d.tick(d.now())
 	assert.Equal(t, uint64(1), s.node.Counts.Woke)
--- a/internal/process/tracing.go
+++ b/internal/process/tracing.go
@@ -42,12 +42,12 @@
 	return p.Shutdown, nil
 }
 
-// flushWait is how long the last spans may take to be sent at the end.
-const flushWait = time.Second
+// traceFlushTimeout is how long the last spans may take to be sent at the end.
+const traceFlushTimeout = time.Second
 
 // flushTraces sends what is left at the end of the process.
 func flushTraces(flush func(context.Context) error, log zerolog.Logger) {
-	ctx, stop := context.WithTimeout(context.Background(), flushWait)
+	ctx, stop := context.WithTimeout(context.Background(), traceFlushTimeout)
 	defer stop()
 	if err := flush(ctx); err != nil {
 		log.Debug().Err(err).Msg("trace-flush-failed")
