--- a/internal/process/admission.go
+++ b/internal/process/admission.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// admissionHoldDuration is how long after this router was last short of processor its door still lets
-// in only what shares cover: the flood that it is spared would make it short again.
+// admissionHoldDuration is how long after an overload load shedding still admits only what
+// organisations' shares cover. Without it, the flood that is being refused would overload
+// the router again.
 const admissionHoldDuration = 2 * time.Second
 
 // serviceOrg is an organisation at a service.
 type serviceOrg struct{ service, org string }
 
-// publishAdmitRatios tells the door which part of an organisation's requests to let in.
-func (s *RoutedController) publishAdmitRatios(now time.Time) {
-	if s.overloaded {
-		s.admissionUntil = now.Add(admissionHoldDuration)
+// publishAdmitRatios publishes the fraction of each organisation's requests to admit during
+// an overload and for admissionHoldDuration after it.
+func (rc *RoutedController) publishAdmitRatios(now time.Time) {
+	if rc.overloaded {
+		rc.admissionUntil = now.Add(admissionHoldDuration)
 	}
-	if now.After(s.admissionUntil) {
-		s.admitRatios.Store(nil)
+	if now.After(rc.admissionUntil) {
+		rc.admitRatios.Store(nil)
 		return
 	}
 	parts := map[serviceOrg]float64{}
-	for _, c := range s.node.Covered(now) {
+	for _, c := range rc.node.Covered(now) {
 		parts[serviceOrg{c.Service, c.Org}] = c.Part
 	}
-	s.admitRatios.Store(&parts)
+	rc.admitRatios.Store(&parts)
 }
 
-// Covered implements forward.Control.
-func (s *RoutedController) Covered(service, org string) float64 {
-	parts := s.admitRatios.Load()
+// Covered implements forward.Control. Without a published ratio all requests are admitted.
+func (rc *RoutedController) Covered(service, org string) float64 {
+	parts := rc.admitRatios.Load()
 	if parts == nil {
 		return 1
 	}
--- a/internal/process/appcontroller.go
+++ b/internal/process/appcontroller.go
@@ -17,11 +17,11 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-const progressTicks = 4 // ticks between two looks at running requests
+const progressTicks = 4 // number of ticks between progress reports of running requests
 
-// Driver runs a core.Node: it is the one goroutine that touches control state,
-// and the adapter through which all others ask it. It implements
-// request.Control.
+// AppController runs the control state of the application interface, a core.Node. A single
+// control goroutine accesses it; all other goroutines use the methods of AppController,
+// which queue work for it or read published copies. It implements request.Control.
 type AppController struct {
 	id     wire.NodeID
 	node   *core.Node // control goroutine only
@@ -47,7 +47,7 @@
 	running bool
 }
 
-// NewAppController returns a driver that is not running yet.
+// NewAppController returns a controller that is not running yet.
 func NewAppController(set core.Settings, route *conn.Route, sealer *conn.Sealer, log zerolog.Logger) *AppController {
 	now := clock.System.Now()
 	d := &AppController{
@@ -65,179 +65,180 @@
 	return d
 }
 
-// Run is the control goroutine. It ends with the context.
-func (d *AppController) Run(ctx context.Context) { d.run(ctx, core.TickEvery, d, d.log) }
+// Run runs the control goroutine until the context ends.
+func (c *AppController) Run(ctx context.Context) { c.run(ctx, core.TickEvery, c, c.log) }
 
-func (d *AppController) receive(m *wire.Datagram, now time.Time) {
-	d.node.Step(core.Receive{Datagram: m}, now)
+func (c *AppController) receive(m *wire.Datagram, now time.Time) {
+	c.node.Step(core.Receive{Datagram: m}, now)
 }
 
-func (d *AppController) flush(now time.Time) { d.handleOutputs(d.node.Ready(now)) }
+func (c *AppController) flush(now time.Time) { c.handleOutputs(c.node.Ready(now)) }
 
-func (d *AppController) tick(now time.Time) {
-	d.ticks++
-	if d.ticks%progressTicks == 0 {
-		for id, t := range d.tickets {
+func (c *AppController) tick(now time.Time) {
+	c.ticks++
+	if c.ticks%progressTicks == 0 {
+		for id, t := range c.tickets {
 			if t.running {
-				d.node.Step(core.Progress{ID: id, Units: t.ticket.Units()}, now)
+				c.node.Step(core.Progress{ID: id, Units: t.ticket.Units()}, now)
 			}
 		}
-		v := d.node.View(now)
-		d.view.Store(&v)
-		d.watches.Store(v.Watches)
-		d.ready.Store(v.Ready)
+		v := c.node.View(now)
+		c.view.Store(&v)
+		c.watches.Store(v.Watches)
+		c.ready.Store(v.Ready)
 	}
-	d.node.Tick(now)
-	d.quarantined.publish(d.node.Quarantine())
+	c.node.Tick(now)
+	c.quarantined.publish(c.node.Quarantine())
 }
 
-// act carries out the core's outputs.
-func (d *AppController) handleOutputs(outs []core.Output) {
+// handleOutputs carries out the node's outputs.
+func (c *AppController) handleOutputs(outs []core.Output) {
 	for _, o := range outs {
 		switch o := o.(type) {
 		case core.Send:
-			d.route.Send(o.To, o.Datagram)
+			c.route.Send(o.To, o.Datagram)
 		case core.Start:
-			d.startRequest(o)
+			c.startRequest(o)
 		case core.Refuse:
-			d.refuseRequest(o)
+			c.refuseRequest(o)
 		case core.Fetch:
-			go d.fetchVersion(o)
+			go c.fetchVersion(o)
 		case core.Probe:
-			go d.probe(o.Upstream)
+			go c.probe(o.Upstream)
 		case core.Event:
-			d.log.Info().Uint64("value", o.Value).Str("detail", o.Detail).Msg(o.Name)
+			c.log.Info().Uint64("value", o.Value).Str("detail", o.Detail).Msg(o.Name)
 		}
 	}
 }
 
-func (d *AppController) startRequest(o core.Start) {
-	t := d.tickets[o.ID]
+func (c *AppController) startRequest(o core.Start) {
+	t := c.tickets[o.ID]
 	if t == nil {
 		return
 	}
 	t.running = true
-	t.ticket.Decide(request.Decision{Upstream: d.node.Upstream(o.Upstream), At: d.clock.Now()})
+	t.ticket.Decide(request.Decision{Upstream: c.node.Upstream(o.Upstream), At: c.clock.Now()})
 }
 
-func (d *AppController) refuseRequest(o core.Refuse) {
-	t := d.tickets[o.ID]
+func (c *AppController) refuseRequest(o core.Refuse) {
+	t := c.tickets[o.ID]
 	if t == nil {
 		return
 	}
-	delete(d.tickets, o.ID)
-	t.ticket.Decide(request.Decision{At: d.clock.Now(), Refusal: o})
+	delete(c.tickets, o.ID)
+	t.ticket.Decide(request.Decision{At: c.clock.Now(), Refusal: o})
 }
 
-// fetch reads a version from a peer and offers it to the core.
-func (d *AppController) fetchVersion(o core.Fetch) {
-	raw, err := conn.Fetch(context.Background(), conn.Question{Method: conn.MethodVersion, Asker: string(d.id)}, string(o.From), d.sealer)
+// fetchVersion fetches a version from a peer and offers it to the node.
+func (c *AppController) fetchVersion(o core.Fetch) {
+	raw, err := conn.Fetch(context.Background(), conn.Question{Method: conn.MethodVersion, Asker: string(c.id)}, string(o.From), c.sealer)
 	if err != nil {
-		d.log.Debug().Err(err).Msg("version-fetch-failed")
+		c.log.Debug().Err(err).Msg("version-fetch-failed")
 		return
 	}
-	d.OfferVersion(raw)
+	c.OfferVersion(raw)
 }
 
-// Offer checks a packed version, from whatever source, and hands it to the core.
-func (d *AppController) OfferVersion(raw []byte) {
+// OfferVersion checks a packed version from any source and passes it to the node.
+func (c *AppController) OfferVersion(raw []byte) {
 	p, err := version.Decode(raw)
 	if err != nil {
-		d.log.Warn().Err(err).Msg("value-is-no-version")
+		c.log.Warn().Err(err).Msg("value-is-no-version")
 		return
 	}
 	num := version.NumberOf(raw, p.Revision)
-	if cur := d.version.Load(); cur != nil && cur.Number == num {
+	if cur := c.version.Load(); cur != nil && cur.Number == num {
 		return
 	}
 	v, err := version.Load(raw)
-	d.enqueue(func(now time.Time) {
+	c.enqueue(func(now time.Time) {
 		if err != nil {
-			d.node.Step(core.BadVersion{Number: num, Why: err.Error()}, now)
+			c.node.Step(core.BadVersion{Number: num, Why: err.Error()}, now)
 			return
 		}
-		d.node.Step(core.NewVersion{Version: v}, now)
-		d.version.Store(d.node.Version())
+		c.node.Step(core.NewVersion{Version: v}, now)
+		c.version.Store(c.node.Version())
 	})
 }
 
-// Step gives the core one input.
-func (d *AppController) Step(in core.Input) {
-	d.enqueue(func(now time.Time) { d.node.Step(in, now) })
+// Step queues one input for the node.
+func (c *AppController) Step(in core.Input) {
+	c.enqueue(func(now time.Time) { c.node.Step(in, now) })
 }
 
-// View returns the control state as of a few ticks ago, or nil at the start.
-func (d *AppController) View() *core.View { return d.view.Load() }
+// View returns the control state as of the last publication, at most progressTicks ago, or
+// nil before the first one.
+func (c *AppController) View() *core.View { return c.view.Load() }
 
-// Ready reports whether the balancer may send callers here.
-func (d *AppController) Ready() bool { return d.ready.Load() }
+// Ready reports whether the load balancer may send requests here.
+func (c *AppController) Ready() bool { return c.ready.Load() }
 
-// Watches reports whether this router reads the configuration service now.
-func (d *AppController) Watches() bool { return d.watches.Load() }
+// Watches reports whether this router should read the configuration service itself.
+func (c *AppController) Watches() bool { return c.watches.Load() }
 
 // Version implements request.Control.
-func (d *AppController) Version() *version.Version { return d.version.Load() }
+func (c *AppController) Version() *version.Version { return c.version.Load() }
 
 // Place implements request.Control.
-func (d *AppController) Place() string { return d.place }
+func (c *AppController) Place() string { return c.place }
 
 // Redirect implements request.Control.
-func (d *AppController) Redirect(places map[string]bool) string {
+func (c *AppController) Redirect(places map[string]bool) string {
 	answer := make(chan string, 1)
-	d.enqueue(func(time.Time) { answer <- d.node.Redirect(places) })
+	c.enqueue(func(time.Time) { answer <- c.node.Redirect(places) })
 	select {
 	case url := <-answer:
 		return url
-	case <-d.done:
+	case <-c.done:
 		return ""
 	}
 }
 
 // Submit implements request.Control.
-func (d *AppController) Submit(r entry.Request, key *claim.Key) *request.Ticket {
-	t := request.NewTicket(d.nextID.Add(1))
+func (c *AppController) Submit(r entry.Request, key *claim.Key) *request.Ticket {
+	t := request.NewTicket(c.nextID.Add(1))
 	r.ID = t.ID
-	r.Deadline = d.startTime.Add(r.Deadline.Sub(d.startTime))
-	d.enqueue(func(now time.Time) {
-		d.tickets[t.ID] = &ticketState{ticket: t}
-		d.node.Step(core.Arrive{Request: r, Key: key}, now)
+	r.Deadline = c.startTime.Add(r.Deadline.Sub(c.startTime))
+	c.enqueue(func(now time.Time) {
+		c.tickets[t.ID] = &ticketState{ticket: t}
+		c.node.Step(core.Arrive{Request: r, Key: key}, now)
 	})
 	return t
 }
 
-// Cancel implements request.Control. A slot that came at the same moment is
-// given back first: nothing was sent.
-func (d *AppController) Cancel(t *request.Ticket) {
-	d.enqueue(func(now time.Time) {
-		st := d.tickets[t.ID]
+// Cancel implements request.Control. A slot that was granted meanwhile is returned first,
+// because nothing was sent.
+func (c *AppController) Cancel(t *request.Ticket) {
+	c.enqueue(func(now time.Time) {
+		st := c.tickets[t.ID]
 		if st == nil {
 			return
 		}
-		delete(d.tickets, t.ID)
+		delete(c.tickets, t.ID)
 		if st.running {
-			d.node.Step(core.Return{ID: t.ID}, now)
+			c.node.Step(core.Return{ID: t.ID}, now)
 		}
-		d.node.Step(core.Cancel{ID: t.ID}, now)
+		c.node.Step(core.Cancel{ID: t.ID}, now)
 	})
 }
 
 // Return implements request.Control.
-func (d *AppController) Return(t *request.Ticket, failed bool) {
-	d.enqueue(func(now time.Time) {
-		if st := d.tickets[t.ID]; st != nil {
+func (c *AppController) Return(t *request.Ticket, failed bool) {
+	c.enqueue(func(now time.Time) {
+		if st := c.tickets[t.ID]; st != nil {
 			st.running = false
 		}
-		d.node.Step(core.Return{ID: t.ID, Failed: failed}, now)
+		c.node.Step(core.Return{ID: t.ID, Failed: failed}, now)
 	})
 }
 
 // Finish implements request.Control.
-func (d *AppController) Finish(t *request.Ticket, s wire.Sample, answered bool) {
-	d.enqueue(func(now time.Time) {
-		delete(d.tickets, t.ID)
-		d.node.Step(core.Finish{ID: t.ID, Units: t.Units(), Sample: s, Answered: answered}, now)
+func (c *AppController) Finish(t *request.Ticket, s wire.Sample, answered bool) {
+	c.enqueue(func(now time.Time) {
+		delete(c.tickets, t.ID)
+		c.node.Step(core.Finish{ID: t.ID, Units: t.Units(), Sample: s, Answered: answered}, now)
 	})
 }
 
 // Leaving implements request.Control.
-func (d *AppController) Leaving(id version.ID) { d.Step(core.Drain{Upstream: id}) }
+func (c *AppController) Leaving(id version.ID) { c.Step(core.Drain{Upstream: id}) }
--- a/internal/process/appdaemon.go
+++ b/internal/process/appdaemon.go
@@ -18,11 +18,11 @@
 	"github.com/silverswitch/silverswitch/internal/request"
 )
 
-// shutdownLingerDuration is how long a router that has ended its requests keeps answering
-// peers, so that its leaving is known everywhere.
+// shutdownLingerDuration is how long a router keeps answering peers after its last request
+// has ended, so that all of them learn that it leaves.
 const shutdownLingerDuration = 300 * time.Millisecond
 
-// Daemon is one router process.
+// AppDaemon is a router process that serves the application interface.
 type AppDaemon struct {
 	set         Settings
 	log         zerolog.Logger
@@ -37,7 +37,8 @@
 	stop        context.CancelFunc
 }
 
-// Start opens every listener and begins to serve. On error nothing is left open.
+// StartApp opens all listeners and starts serving. On error it closes whatever it has
+// opened.
 func StartApp(set Settings, log zerolog.Logger) (*AppDaemon, error) {
 	reg := metrics.NewRegistry()
 	sealer, err := conn.NewSealer(set.Secret, "route")
@@ -80,7 +81,7 @@
 	}
 }
 
-// packed returns the bytes of the version in force, for peers.
+// packedVersion returns the encoded version in force, for peers, or nil.
 func (d *AppDaemon) packedVersion() []byte {
 	if v := d.ctrl.Version(); v != nil {
 		return v.Packed
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// protocols serves HTTP/1.1 and HTTP/2, the latter also without TLS.
+// protocols enables HTTP/1.1 and HTTP/2, with and without TLS.
 func protocols() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
@@ -137,8 +138,8 @@
 	}
 }
 
-// closing asks callers to open a new connection elsewhere once this router is
-// leaving; requests that still arrive are served.
+// withCloseHint asks callers to close their connections once this router is leaving, so
+// that they reconnect to another one. Requests that still arrive are served.
 func (d *AppDaemon) withCloseHint(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.leaving.Load() && r.ProtoMajor == 1 {
@@ -167,9 +168,9 @@
 	}
 }
 
-// Shutdown is the planned stop: not ready for the balancer, scheduler roles to
-// others, every request that arrived served to its end, then gone. It returns
-// the number of requests cut by the bound, 0 without one.
+// Shutdown performs the planned stop: it becomes unready for the load balancer, hands its
+// scheduler roles over, serves every request that has arrived to its end, and closes. It
+// returns the number of requests cut by the bound, which is 0 without a bound.
 func (d *AppDaemon) Shutdown(ctx context.Context) int {
 	d.leaving.Store(true)
 	d.ctrl.Step(core.Leave{})
@@ -189,16 +190,17 @@
 	return cut
 }
 
-// Reload takes settings that may change while the process runs: none of this
-// interface yet; WatchSettings says which wait for a restart.
+// Reload does nothing: no setting of the application interface can change while the
+// process runs. WatchSettings logs the settings that wait for a restart.
 func (d *AppDaemon) Reload(Settings) {}
 
-// openRequestsTimeout bounds how long the control goroutine is asked for a count.
+// openRequestsTimeout bounds the wait for the control goroutine to count open requests.
 const openRequestsTimeout = time.Second
 
 func (d *AppDaemon) open() int { return d.Open(openRequestsTimeout) }
 
-// Open returns the requests that have no outcome yet.
+// Open returns the number of requests without an outcome, or 0 when the control goroutine
+// has ended or does not answer within wait.
 func (d *AppDaemon) Open(wait time.Duration) int {
 	n := make(chan int, 1)
 	go d.ctrl.enqueue(func(time.Time) { n <- len(d.ctrl.tickets) })
@@ -212,7 +214,7 @@
 	}
 }
 
-// close ends everything at once.
+// close closes all listeners and connections at once.
 func (d *AppDaemon) close() {
 	d.stop()
 	if d.callers != nil {
--- a/internal/process/availability.go
+++ b/internal/process/availability.go
@@ -8,30 +8,31 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// usable is what requests need to know of where they may be sent.
+// availability is published for request handlers: which instances may receive requests.
 type availability struct {
 	mu        sync.RWMutex
-	starts    map[string]routing.Instance // by start, without those that leave; nil while nothing is known
-	evacuated map[string]bool             // places
-	backoffs  map[string]time.Time        // until when starts want nothing of this router
+	starts    map[string]routing.Instance // by start, without leaving ones; nil before the first publication
+	evacuated map[string]bool             // evacuated places
+	backoffs  map[string]time.Time        // by start: end of the backoff that it asked this router for
 }
 
-// publishAvailability tells requests which instances may be sent work.
-func (s *RoutedController) publishAvailability(list []routing.Instance, evacuated []routing.Evacuation) {
+// publishAvailability replaces the list of instances and the evacuated places.
+func (rc *RoutedController) publishAvailability(list []routing.Instance, evacuated []routing.Evacuation) {
 	starts := make(map[string]routing.Instance, len(list))
 	for _, i := range list {
 		if !i.Draining {
 			starts[i.Start()] = i
 		}
 	}
-	s.availability.mu.Lock()
-	defer s.availability.mu.Unlock()
-	s.availability.starts, s.availability.evacuated = starts, routing.EvacuatedPlaces(evacuated)
+	rc.availability.mu.Lock()
+	defer rc.availability.mu.Unlock()
+	rc.availability.starts, rc.availability.evacuated = starts, routing.EvacuatedPlaces(evacuated)
 }
 
-// updateAvailability tells requests what has changed of that.
-func (s *RoutedController) updateAvailability(c routing.Changes, evacuated []routing.Evacuation) {
-	u := &s.availability
+// updateAvailability applies changes to the list of instances and replaces the evacuated
+// places.
+func (rc *RoutedController) updateAvailability(c routing.Changes, evacuated []routing.Evacuation) {
+	u := &rc.availability
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.starts == nil {
@@ -50,35 +51,36 @@
 	u.evacuated = routing.EvacuatedPlaces(evacuated)
 }
 
-// standing is what requests know of one start.
+// instanceStatus is the availability of one start of an instance.
 type instanceStatus struct {
 	inst      routing.Instance
-	known     bool // any list was published
-	listed    bool
-	evacuated bool // its place
-	backsOff  bool // it wants nothing of this router now
+	known     bool // a list was published
+	listed    bool // in the list, and not leaving
+	evacuated bool // its place is evacuated
+	backsOff  bool // it has asked this router for backoff
 }
 
-func (u *availability) of(start string, now time.Time) instanceStatus {
-	u.mu.RLock()
-	defer u.mu.RUnlock()
-	i, listed := u.starts[start]
-	return instanceStatus{inst: i, known: u.starts != nil, listed: listed, evacuated: u.evacuated[i.Place], backsOff: now.Before(u.backoffs[start])}
+func (a *availability) of(start string, now time.Time) instanceStatus {
+	a.mu.RLock()
+	defer a.mu.RUnlock()
+	i, listed := a.starts[start]
+	return instanceStatus{inst: i, known: a.starts != nil, listed: listed, evacuated: a.evacuated[i.Place], backsOff: now.Before(a.backoffs[start])}
 }
 
-// mayCall reports whether a start may be asked anything: it neither leaves nor wants nothing
-// of this router for a while.
+// mayCall reports whether the instance may be called: it is not leaving or gone, and has not
+// asked for backoff.
 func (s instanceStatus) mayCall() bool { return (s.listed || !s.known) && !s.backsOff }
 
-// backOff keeps requests from a start until a time.
-func (u *availability) backOff(start string, until, now time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.backoffs == nil {
-		u.backoffs = map[string]time.Time{}
+// backOff withholds requests from a start until a time. A shorter backoff does not end a
+// longer one.
+func (a *availability) backOff(start string, until, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.backoffs == nil {
+		a.backoffs = map[string]time.Time{}
 	}
-	maps.DeleteFunc(u.backoffs, func(_ string, until time.Time) bool { return !now.Before(until) })
-	if until.After(u.backoffs[start]) {
-		u.backoffs[start] = until
+	maps.DeleteFunc(a.backoffs, func(_ string, until time.Time) bool { return !now.Before(until) })
+	if until.After(a.backoffs[start]) {
+		a.backoffs[start] = until
 	}
 }
--- a/internal/process/callerserver.go
+++ b/internal/process/callerserver.go
@@ -13,15 +13,14 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// edge serves callers on one listener under the limits of the table in force.
-// net/http fixes a server's limits, so a table with other limits gets a server of
-// its own for new connections; those that are open keep the limits they began
-// with.
+// callerServer serves callers on one listener under the limits of the table in force. The
+// limits of an http.Server cannot change, so a table with other limits gets a new
+// http.Server for new connections; open connections keep their limits.
 type callerServer struct {
 	listener            net.Listener
 	handler             http.Handler
 	connLimiter         *connLimiter
-	controlBehind       func() bool // control is behind; may be nil
+	controlBehind       func() bool // see RoutedDaemon.controlBehind; may be nil
 	log                 zerolog.Logger
 	mu                  sync.Mutex
 	limits              routing.Limits
@@ -29,17 +28,17 @@
 	chanListener        *chanListener
 	servers             []*http.Server
 	closed              bool
-	acceptErrorLoggedAt time.Time // last line of a failed accept; accept goroutine only
+	acceptErrorLoggedAt time.Time // accept goroutine only
 }
 
-// initialLimits are in force until the first table is known.
+// initialLimits apply until the first table is known.
 var initialLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
 
-// newCallerServer listens for callers. While behind says that control is not read, they are
-// accepted more slowly.
+// newCallerServer listens for callers and starts serving them. While controlBehind returns
+// true, connections are accepted more slowly.
 func newCallerServer(addr string, handler http.Handler, descriptors int, controlBehind func() bool, log zerolog.Logger) (*callerServer, error) {
-	// Callers that are gone without a word are found by the limits on idle time and
-	// requests; probes would cost four system calls a connection.
+	// Callers that vanish without closing are detected by the limits on idle time and
+	// requests. Keep-alive probes would cost four system calls per connection.
 	config := net.ListenConfig{KeepAlive: -1}
 	l, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -52,78 +51,78 @@
 	return e, nil
 }
 
-// closing asks callers to close their connections while there are many.
-func (e *callerServer) withCloseHint(next http.Handler) http.Handler {
+// withCloseHint asks callers to close their connections while many are open.
+func (cs *callerServer) withCloseHint(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if e.connLimiter.closeHint() {
+		if cs.connLimiter.closeHint() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// use puts limits in force for new connections.
-func (e *callerServer) setLimits(l routing.Limits) {
+// setLimits applies limits to new connections.
+func (cs *callerServer) setLimits(l routing.Limits) {
 	l.TokensPerSecond, l.BodyBytes = 0, 0
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.closed || e.current != nil && e.limits == l {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.closed || cs.current != nil && cs.limits == l {
 		return
 	}
-	e.limits = l
-	e.current = &http.Server{
-		Handler:           e.handler,
+	cs.limits = l
+	cs.current = &http.Server{
+		Handler:           cs.handler,
 		ReadHeaderTimeout: l.HeaderTime,
 		IdleTimeout:       l.IdleTime,
 		MaxHeaderBytes:    l.HeaderBytes,
-		ConnState:         e.connLimiter.connState,
+		ConnState:         cs.connLimiter.connState,
 		ErrorLog:          discardLog(),
 	}
-	e.chanListener = newChanListener(e.listener.Addr())
-	e.servers = append(e.servers, e.current)
+	cs.chanListener = newChanListener(cs.listener.Addr())
+	cs.servers = append(cs.servers, cs.current)
 	go func(s *http.Server, f *chanListener) {
 		if err := s.Serve(f); !errors.Is(err, http.ErrServerClosed) {
-			e.log.Error().Err(err).Msg("callers-listener-ended")
+			cs.log.Error().Err(err).Msg("callers-listener-ended")
 		}
-	}(e.current, e.chanListener)
+	}(cs.current, cs.chanListener)
 }
 
-func (e *callerServer) accept() {
+func (cs *callerServer) accept() {
 	for {
-		e.waitForControl()
-		c, err := e.listener.Accept()
+		cs.waitForControl()
+		c, err := cs.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors: those in use end soon
-			e.acceptFailed(err)
+		if err != nil { // out of descriptors; open connections will free some soon
+			cs.acceptFailed(err)
 			continue
 		}
-		e.mu.Lock()
-		f := e.chanListener
-		e.mu.Unlock()
+		cs.mu.Lock()
+		f := cs.chanListener
+		cs.mu.Unlock()
 		f.deliver(c)
 	}
 }
 
-// Accepting is held while control is behind, for maxAcceptDelay at the most, looking every
-// acceptPollInterval, so that a router always takes some connections: callers give a new one a
-// second.
+// Accepting a connection is delayed while the control state is behind, by at most
+// maxAcceptDelay, checking every acceptPollInterval. The bound lets a router always accept
+// some connections, because callers wait only a second for a new one.
 //
-// Load pattern: 2,600 requests a second of several floods at a router of a fifth of a core.
-// Refusing each took all its processor, and it read no datagram for three seconds: it had
-// no word on shares, and what it placed was not sent.
+// Load pattern: 2,600 requests per second from several floods at a router with a fifth of a
+// core. Refusing them took all of its CPU time, and it read no datagram for three seconds:
+// it received no share updates, and its placements were not sent.
 const (
 	maxAcceptDelay     = 20 * time.Millisecond
 	acceptPollInterval = 2 * time.Millisecond
 )
 
-// pace waits while control is behind.
-func (e *callerServer) waitForControl() {
-	if e.controlBehind == nil {
+// waitForControl waits while the control state is behind.
+func (cs *callerServer) waitForControl() {
+	if cs.controlBehind == nil {
 		return
 	}
-	for end := time.Now().Add(maxAcceptDelay); e.controlBehind() && time.Now().Before(end); {
+	for end := time.Now().Add(maxAcceptDelay); cs.controlBehind() && time.Now().Before(end); {
 		time.Sleep(acceptPollInterval)
 	}
 }
@@ -133,25 +132,27 @@
 	acceptLogInterval = time.Second
 )
 
-// acceptFailed waits a moment; of many failures one a second is logged.
-func (e *callerServer) acceptFailed(err error) {
-	if now := time.Now(); now.Sub(e.acceptErrorLoggedAt) >= acceptLogInterval {
-		e.acceptErrorLoggedAt = now
-		e.log.Warn().Err(err).Msg("accept-failed")
+// acceptFailed waits before the next attempt. It logs at most one failure per
+// acceptLogInterval.
+func (cs *callerServer) acceptFailed(err error) {
+	if now := time.Now(); now.Sub(cs.acceptErrorLoggedAt) >= acceptLogInterval {
+		cs.acceptErrorLoggedAt = now
+		cs.log.Warn().Err(err).Msg("accept-failed")
 	}
 	time.Sleep(acceptRetryDelay)
 }
 
-// stopAccepting closes the listener; open connections go on.
-func (e *callerServer) stopAccepting() { e.listener.Close() }
-
-// shutdown ends idle connections at once and others after their request.
-func (e *callerServer) shutdown(ctx context.Context) error {
-	e.stopAccepting()
-	e.mu.Lock()
-	e.closed = true
-	servers := e.servers
-	e.mu.Unlock()
+// stopAccepting closes the listener. Open connections stay open.
+func (cs *callerServer) stopAccepting() { cs.listener.Close() }
+
+// shutdown stops accepting, closes idle connections at once and others after their current
+// request.
+func (cs *callerServer) shutdown(ctx context.Context) error {
+	cs.stopAccepting()
+	cs.mu.Lock()
+	cs.closed = true
+	servers := cs.servers
+	cs.mu.Unlock()
 	var wg sync.WaitGroup
 	errs := make([]error, len(servers))
 	for i, s := range servers {
@@ -161,17 +162,17 @@
 	return errors.Join(errs...)
 }
 
-func (e *callerServer) close() {
-	e.stopAccepting()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.closed = true
-	for _, s := range e.servers {
+func (cs *callerServer) close() {
+	cs.stopAccepting()
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.closed = true
+	for _, s := range cs.servers {
 		s.Close()
 	}
 }
 
-// feed is a net.Listener that is given its connections.
+// chanListener is a net.Listener for connections that another goroutine has accepted.
 type chanListener struct {
 	addr  net.Addr
 	conns chan net.Conn
@@ -183,29 +184,29 @@
 	return &chanListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (f *chanListener) deliver(c net.Conn) {
+func (l *chanListener) deliver(c net.Conn) {
 	select {
-	case f.conns <- c:
-	case <-f.done:
+	case l.conns <- c:
+	case <-l.done:
 		c.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (f *chanListener) Accept() (net.Conn, error) {
+func (l *chanListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-f.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-f.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *chanListener) Close() error {
-	f.once.Do(func() { close(f.done) })
+func (l *chanListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *chanListener) Addr() net.Addr { return f.addr }
+func (l *chanListener) Addr() net.Addr { return l.addr }
--- a/internal/process/connlimiter.go
+++ b/internal/process/connlimiter.go
@@ -9,79 +9,81 @@
 	"github.com/silverswitch/silverswitch/internal/conn"
 )
 
-// Parts of a process's descriptors that callers' connections may take. The rest
-// is for connections to upstreams, peers and the platform.
+// Fractions of the process's descriptors, less reservedDescriptors, that callers' connections
+// may use. The rest is for connections to upstreams, peers and the platform.
 const (
-	// closeHintRatio is the part from which answers ask callers to close.
+	// closeHintRatio is the fraction above which responses ask callers to close their
+	// connections.
 	closeHintRatio = 0.35
-	// maxOpenRatio is the part from which the longest idle connections are closed to
+	// maxOpenRatio is the fraction above which the longest idle connections are closed to
 	// make room for new ones.
 	maxOpenRatio = 0.6
-	// reservedDescriptors are descriptors that no socket may take.
+	// reservedDescriptors is the number of descriptors that are not available to sockets.
 	reservedDescriptors = 200
 )
 
-// crowd keeps callers' connections within the process's descriptors: a caller
-// that opens a connection for each request leaves idle ones behind, each for the
-// whole idle time.
+// connLimiter keeps the number of callers' connections within the process's descriptors. A
+// caller that opens a connection for each request leaves idle connections behind, each for
+// the whole idle timeout.
 type connLimiter struct {
 	mu           sync.Mutex
-	close        int // open connections from which callers are asked to close
-	maxOpen      int
+	close        int // number of open connections above which callers are asked to close; 0 for no bound
+	maxOpen      int // 0 for no bound
 	open         int
-	idle         *list.List // of net.Conn, longest idle first
+	idle         *list.List // net.Conn values, longest idle first
 	idleElements map[net.Conn]*list.Element
 }
 
-// newConnLimiter returns the bounds for a number of descriptors, 0 for none.
+// newConnLimiter returns a limiter for a number of descriptors, or one without bounds for 0.
 func newConnLimiter(descriptors int) *connLimiter {
 	usable := float64(max(0, descriptors-reservedDescriptors))
 	return &connLimiter{close: int(closeHintRatio * usable), maxOpen: int(maxOpenRatio * usable), idle: list.New(), idleElements: map[net.Conn]*list.Element{}}
 }
 
-// dense reports whether callers are to be asked to close their connections.
-func (c *connLimiter) closeHint() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.close > 0 && c.open > c.close
+// closeHint reports whether callers should be asked to close their connections.
+func (l *connLimiter) closeHint() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.close > 0 && l.open > l.close
 }
 
-// connState follows http.Server's connections.
-func (c *connLimiter) connState(caller net.Conn, state http.ConnState) {
-	c.mu.Lock()
+// connState implements http.Server.ConnState.
+func (l *connLimiter) connState(caller net.Conn, state http.ConnState) {
+	l.mu.Lock()
 	var drop net.Conn
 	switch state {
 	case http.StateNew:
-		c.open++
-		drop = c.removeLongestIdle()
+		l.open++
+		drop = l.removeLongestIdle()
 	case http.StateActive:
-		c.removeIdle(caller)
+		l.removeIdle(caller)
 	case http.StateIdle:
-		c.idleElements[caller] = c.idle.PushBack(caller)
-		drop = c.removeLongestIdle()
+		l.idleElements[caller] = l.idle.PushBack(caller)
+		drop = l.removeLongestIdle()
 	case http.StateClosed, http.StateHijacked:
-		c.open--
-		c.removeIdle(caller)
+		l.open--
+		l.removeIdle(caller)
 	}
-	c.mu.Unlock()
+	l.mu.Unlock()
 	if drop != nil {
-		drop.Close() // it is idle: no request is lost that was read
+		drop.Close() // idle, so no request is lost that the router has read
 	}
 }
 
-// maxIdleTries is how many idle connections are looked at for a quiet one.
+// maxIdleTries bounds the number of idle connections that are checked for unread input.
 const maxIdleTries = 8
 
-// oldest takes the longest idle connection off the list when there are too many.
-// One on which a request has arrived that was not read yet stays.
-func (c *connLimiter) removeLongestIdle() net.Conn {
-	if c.maxOpen == 0 || c.open <= c.maxOpen {
+// removeLongestIdle removes the longest idle connection from the list and returns it, or
+// returns nil unless too many connections are open. It skips connections on which an unread
+// request has arrived.
+func (l *connLimiter) removeLongestIdle() net.Conn {
+	if l.maxOpen == 0 || l.open <= l.maxOpen {
 		return nil
 	}
-	e := c.idle.Front()
+	e := l.idle.Front()
 	for i := 0; e != nil && i < maxIdleTries; i++ {
 		if idle := e.Value.(net.Conn); conn.Quiet(idle) {
-			c.removeIdle(idle)
+			l.removeIdle(idle)
 			return idle
 		}
 		e = e.Next()
@@ -89,9 +91,9 @@
 	return nil
 }
 
-func (c *connLimiter) removeIdle(caller net.Conn) {
-	if e := c.idleElements[caller]; e != nil {
-		c.idle.Remove(e)
-		delete(c.idleElements, caller)
+func (l *connLimiter) removeIdle(caller net.Conn) {
+	if e := l.idleElements[caller]; e != nil {
+		l.idle.Remove(e)
+		delete(l.idleElements, caller)
 	}
 }
--- a/internal/process/controlloop.go
+++ b/internal/process/controlloop.go
@@ -15,24 +15,24 @@
 	maxOpsBatch  = 256
 )
 
-// op is work for the control goroutine.
+// op is a function that runs on the control goroutine.
 type op func(now time.Time)
 
-// controlLoop is the one goroutine that touches a state machine, and the way to it for all
-// others.
+// controlLoop runs a state machine on a single goroutine and queues operations and
+// datagrams from other goroutines for it.
 type controlLoop struct {
 	ops       chan op
 	datagrams chan *wire.Datagram
-	startTime time.Time // process start
+	startTime time.Time
 	clock     *clock.Clock
 	done      chan struct{}
 }
 
-// machine is what a control loop drives.
+// stateMachine is the state machine that a control loop runs.
 type stateMachine interface {
 	receive(m *wire.Datagram, now time.Time)
 	tick(now time.Time)
-	// flush carries out what follows from the inputs since the last call.
+	// flush carries out the outputs of all inputs since the last call.
 	flush(now time.Time)
 }
 
@@ -46,11 +46,11 @@
 	}
 }
 
-// now is wall time at the start plus the time since: it never jumps when the wall clock
-// is set, and goes on while the VM is suspended.
+// now returns the wall time at the start plus the time elapsed since. It does not jump
+// when the wall clock is set, and advances while the VM is suspended.
 func (l *controlLoop) now() time.Time { return l.startTime.Add(l.clock.Since(l.startTime)) }
 
-// run is the control goroutine. It ends with the context.
+// run runs the control goroutine until the context ends.
 func (l *controlLoop) run(ctx context.Context, every time.Duration, m stateMachine, log zerolog.Logger) {
 	defer close(l.done)
 	tick := time.NewTicker(every)
@@ -72,7 +72,8 @@
 	}
 }
 
-// drain takes what else is already there, so that one datagram carries it all.
+// drainQueues handles up to maxOpsBatch inputs that are already queued, so that one
+// datagram to each peer carries all resulting messages.
 func (l *controlLoop) drainQueues(m stateMachine) {
 	for range maxOpsBatch {
 		select {
@@ -86,7 +87,8 @@
 	}
 }
 
-// do hands work to the control goroutine; it is dropped after its end.
+// enqueue queues f for the control goroutine and blocks while the queue is full. Once the
+// control goroutine has ended, f is dropped.
 func (l *controlLoop) enqueue(f op) {
 	select {
 	case l.ops <- f:
@@ -94,8 +96,8 @@
 	}
 }
 
-// Deliver hands over a datagram. When the control goroutine lags, datagrams are
-// dropped, as a network would.
+// Deliver queues a datagram for the control goroutine. When the queue is full the datagram
+// is dropped, as it could be on the network.
 func (l *controlLoop) Deliver(m *wire.Datagram) {
 	select {
 	case l.datagrams <- m:
@@ -103,8 +105,8 @@
 	}
 }
 
-// ask lets the control goroutine answer a question. It returns false when that takes longer
-// than a time, or the goroutine has ended.
+// query runs answer on the control goroutine and returns its result. It returns false when
+// that takes longer than wait, or when the control goroutine has ended.
 func query[T any](l *controlLoop, wait time.Duration, answer func(now time.Time) T) (T, bool) {
 	got := make(chan T, 1)
 	go l.enqueue(func(now time.Time) { got <- answer(now) })
--- a/internal/process/crashingrequest_test.go
+++ b/internal/process/crashingrequest_test.go
@@ -45,33 +45,33 @@
 	return m.addr
 }
 
-func (m *crashingServer) start() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.closed {
+func (cs *crashingServer) start() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.closed {
 		return
 	}
-	l, err := net.Listen("tcp", m.addr)
-	if !assert.NoError(m.t, err) {
+	l, err := net.Listen("tcp", cs.addr)
+	if !assert.NoError(cs.t, err) {
 		return
 	}
-	m.addr = l.Addr().String()
+	cs.addr = l.Addr().String()
 	s := &http.Server{}
 	var once sync.Once
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
-		if strings.Contains(string(raw), m.keyword) {
+		if strings.Contains(string(raw), cs.keyword) {
 			once.Do(func() {
-				m.crashes.Add(1)
+				cs.crashes.Add(1)
 				s.Close()
-				time.AfterFunc(restartDelay, m.start)
+				time.AfterFunc(restartDelay, cs.start)
 			})
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(raw))
-		m.handler.ServeHTTP(w, r)
+		cs.handler.ServeHTTP(w, r)
 	})
-	m.server = s
+	cs.server = s
 	go func() { _ = s.Serve(l) }() // ends when it is closed
 }
 
--- a/internal/process/forwardcontrol.go
+++ b/internal/process/forwardcontrol.go
@@ -8,18 +8,19 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// What requests ask of the control state. Every method may be called by any goroutine.
+// The methods by which request handlers use the control state. Each may be called by any
+// goroutine.
 
 // Excess implements forward.Control.
-func (s *RoutedController) Excess() float64 { return s.overload.shedRatio() }
+func (rc *RoutedController) Excess() float64 { return rc.overload.shedRatio() }
 
 // TurnedAway implements forward.Control.
-func (s *RoutedController) TurnedAway(w dispatch.TurnedWork) { s.shed.add(w) }
+func (rc *RoutedController) TurnedAway(w dispatch.TurnedWork) { rc.shed.add(w) }
 
 // Unusable implements forward.Control.
-func (s *RoutedController) Unusable(p *dispatch.Place) forward.Unusable {
-	now := s.now()
-	up := s.availability.of(p.Instance.Start(), now)
+func (rc *RoutedController) Unusable(p *dispatch.Place) forward.Unusable {
+	now := rc.now()
+	up := rc.availability.of(p.Instance.Start(), now)
 	switch {
 	case !up.known:
 		return forward.MaySend
@@ -36,69 +37,69 @@
 }
 
 // Looked implements forward.Control.
-func (s *RoutedController) Looked(i routing.Instance, coldFor time.Duration) {
-	s.Step(dispatch.Looked{Instance: i, ColdFor: coldFor})
+func (rc *RoutedController) Looked(i routing.Instance, coldFor time.Duration) {
+	rc.Step(dispatch.Looked{Instance: i, ColdFor: coldFor})
 }
 
 // UpstreamLeaves implements forward.Control.
-func (s *RoutedController) UpstreamLeaves(start string) {
-	up := s.availability.of(start, s.now())
+func (rc *RoutedController) UpstreamLeaves(start string) {
+	up := rc.availability.of(start, rc.now())
 	if !up.listed {
-		return // it is known to leave, or to have ended
+		return // already known to be leaving or gone
 	}
-	s.Step(dispatch.SaysLeaving{Instance: up.inst})
+	rc.Step(dispatch.SaysLeaving{Instance: up.inst})
 }
 
 // UpstreamBacksOff implements forward.Control.
-func (s *RoutedController) UpstreamBacksOff(start string, d time.Duration) {
-	now := s.now()
-	s.availability.backOff(start, now.Add(d), now)
-	if up := s.availability.of(start, now); up.listed {
-		s.Step(dispatch.RetryAfter{Instance: up.inst, For: d})
+func (rc *RoutedController) UpstreamBacksOff(start string, d time.Duration) {
+	now := rc.now()
+	rc.availability.backOff(start, now.Add(d), now)
+	if up := rc.availability.of(start, now); up.listed {
+		rc.Step(dispatch.RetryAfter{Instance: up.inst, For: d})
 	}
 }
 
-// drain takes an instance out of use that has said that it leaves.
-func (s *RoutedController) drainUpstream(o dispatch.Leaving) {
-	s.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Str("peer", string(o.From)).Uint64("revision", s.view.Revision).Msg("upstream-says-it-leaves")
-	if s.view.Drain(o.Instance) {
-		s.publish(s.now())
+// drainUpstream takes an instance out of use after it has announced that it leaves.
+func (rc *RoutedController) drainUpstream(o dispatch.Leaving) {
+	rc.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Str("peer", string(o.From)).Uint64("revision", rc.view.Revision).Msg("upstream-says-it-leaves")
+	if rc.view.Drain(o.Instance) {
+		rc.publish(rc.now())
 	}
 }
 
 // Table implements forward.Control.
-func (s *RoutedController) Table() *routing.Table { return s.table.Load() }
+func (rc *RoutedController) Table() *routing.Table { return rc.table.Load() }
 
 // Leaving implements forward.Control.
-func (s *RoutedController) Leaving() bool { return s.leaving.Load() }
+func (rc *RoutedController) Leaving() bool { return rc.leaving.Load() }
 
 // Submit implements forward.Control.
-func (s *RoutedController) Submit(r dispatch.Request) *forward.Ticket {
-	t := forward.NewTicket(s.nextID.Add(1))
+func (rc *RoutedController) Submit(r dispatch.Request) *forward.Ticket {
+	t := forward.NewTicket(rc.nextID.Add(1))
 	r.ID = t.ID
-	r.Aim = s.startTime.Add(r.Aim.Sub(s.startTime))
-	r.Deadline = s.startTime.Add(r.Deadline.Sub(s.startTime))
-	s.enqueue(func(now time.Time) {
-		s.tickets[t.ID] = t
-		s.node.Step(dispatch.Arrive{Request: r}, now)
+	r.Aim = rc.startTime.Add(r.Aim.Sub(rc.startTime))
+	r.Deadline = rc.startTime.Add(r.Deadline.Sub(rc.startTime))
+	rc.enqueue(func(now time.Time) {
+		rc.tickets[t.ID] = t
+		rc.node.Step(dispatch.Arrive{Request: r}, now)
 	})
 	return t
 }
 
 // Again implements forward.Control.
-func (s *RoutedController) Again(t *forward.Ticket, note uint8) {
-	s.enqueue(func(now time.Time) { s.node.Step(dispatch.Again{ID: t.ID, Event: note}, now) })
+func (rc *RoutedController) Again(t *forward.Ticket, note uint8) {
+	rc.enqueue(func(now time.Time) { rc.node.Step(dispatch.Again{ID: t.ID, Event: note}, now) })
 }
 
 // First implements forward.Control.
-func (s *RoutedController) First(t *forward.Ticket, after time.Duration) {
-	s.enqueue(func(now time.Time) { s.node.Step(dispatch.First{ID: t.ID, After: after}, now) })
+func (rc *RoutedController) First(t *forward.Ticket, after time.Duration) {
+	rc.enqueue(func(now time.Time) { rc.node.Step(dispatch.First{ID: t.ID, After: after}, now) })
 }
 
 // End implements forward.Control.
-func (s *RoutedController) End(t *forward.Ticket, note uint8) {
-	s.enqueue(func(now time.Time) {
-		delete(s.tickets, t.ID)
-		s.node.Step(dispatch.End{ID: t.ID, Event: note}, now)
+func (rc *RoutedController) End(t *forward.Ticket, note uint8) {
+	rc.enqueue(func(now time.Time) {
+		delete(rc.tickets, t.ID)
+		rc.node.Step(dispatch.End{ID: t.ID, Event: note}, now)
 	})
 }
--- a/internal/process/operator.go
+++ b/internal/process/operator.go
@@ -14,8 +14,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// operatorHandler serves health, readiness, status and metrics, on the
-// operators' listener only.
+// operatorHandler returns the operators' handler of the application interface: health,
+// readiness, status and metrics.
 func operatorHandler(d *AppController, reg metrics.Registry) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
@@ -28,7 +28,7 @@
 	})
 	r.HandleFunc("/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(d.View()) // the operator may be gone
+		_ = json.NewEncoder(w).Encode(d.View()) // a write fails only when the operator has disconnected
 	})
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
@@ -37,7 +37,7 @@
 	return r
 }
 
-// writeMetrics renders the registry in the Prometheus text format.
+// writeMetrics writes the registry and the control state in the Prometheus text format.
 func writeMetrics(w http.ResponseWriter, d *AppController, reg metrics.Registry) {
 	lines := map[string]string{}
 	if v := d.View(); v != nil {
@@ -55,10 +55,11 @@
 	writeRegistry(w, reg, lines)
 }
 
-// quantiles of a timer that are shown.
+// quantiles are the quantiles shown of each timer.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// writeRegistry renders a registry, and lines that are no part of one.
+// writeRegistry writes the metrics of a registry and additional lines in the Prometheus
+// text format, sorted by name.
 func writeRegistry(w io.Writer, reg metrics.Registry, more map[string]string) {
 	lines := map[string]string{}
 	maps.Copy(lines, more)
--- a/internal/process/peercontent.go
+++ b/internal/process/peercontent.go
@@ -13,65 +13,66 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// The content of the platform's store as routers read it from each other: what the asker
-// lacks, where that is known, and all of it otherwise.
+// Routers read the content of the platform's store from each other. The answer holds the
+// changes that the requesting router lacks where they are known, and the full content
+// otherwise.
 
-// held is the part of the content that a router has.
+// contentRevision states which content a router already has.
 type contentRevision struct {
-	AsOf     uint64 `cbor:"1,keyasint"` // every change up to this
+	AsOf     uint64 `cbor:"1,keyasint"` // every change up to this revision is known
 	TableRev uint64 `cbor:"2,keyasint"`
 }
 
-// content is the view, or what a router that has a part of it lacks.
+// content is the full view of the store, or the changes that a router lacks.
 type content struct {
 	Revision  uint64               `cbor:"1,keyasint"`
 	AsOf      uint64               `cbor:"2,keyasint"`
-	Base      uint64               `cbor:"3,keyasint,omitempty"` // Instances and Removed are the changes since; 0: all instances
+	Base      uint64               `cbor:"3,keyasint,omitempty"` // Instances and Removed are changes since this revision; 0: Instances is complete
 	TableRev  uint64               `cbor:"4,keyasint"`
-	TableRaw  []byte               `cbor:"5,keyasint,omitempty"` // empty for an asker that has it
+	TableRaw  []byte               `cbor:"5,keyasint,omitempty"` // empty when the requesting router has this table
 	Instances []wire.InstanceEntry `cbor:"6,keyasint,omitempty"`
 	Removed   []string             `cbor:"7,keyasint,omitempty"` // IDs
-	Places    []wire.PlaceEntry    `cbor:"8,keyasint,omitempty"` // that are evacuated
-	Sum       uint64               `cbor:"9,keyasint"`           // routing.View.Sum of the whole
+	Places    []wire.PlaceEntry    `cbor:"8,keyasint,omitempty"` // evacuated places
+	Sum       uint64               `cbor:"9,keyasint"`           // routing.View.Sum of the full list
 	Lapsing   []lapse              `cbor:"10,keyasint,omitempty"`
 }
 
-// lapse is an instance whose entry is missing and that is given time.
+// lapse is an instance whose entry is missing, and the grace period until it is removed.
 type lapse struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
 	ForMS uint32
 }
 
-// contentFor is what a router lacks, or nil while there is no table.
-func (s *RoutedController) contentFor(h contentRevision, now time.Time) *content {
-	if len(s.view.TableRaw) == 0 {
+// contentFor returns the content that a router with h lacks, or nil while there is no table.
+func (rc *RoutedController) contentFor(h contentRevision, now time.Time) *content {
+	if len(rc.view.TableRaw) == 0 {
 		return nil
 	}
-	c := &content{Revision: s.view.Revision, AsOf: s.view.AsOf, TableRev: s.view.TableRev, Sum: s.view.Sum()}
-	if h.TableRev != s.view.TableRev {
-		c.TableRaw = s.view.TableRaw
+	c := &content{Revision: rc.view.Revision, AsOf: rc.view.AsOf, TableRev: rc.view.TableRev, Sum: rc.view.Sum()}
+	if h.TableRev != rc.view.TableRev {
+		c.TableRaw = rc.view.TableRaw
 	}
-	list, removed, known := s.view.Since(h.AsOf)
+	list, removed, known := rc.view.Since(h.AsOf)
 	if known {
 		c.Base, c.Removed = h.AsOf, removed
 	} else {
-		list = s.view.Instances()
+		list = rc.view.Instances()
 	}
 	for _, i := range list {
 		c.Instances = append(c.Instances, entryOf(i, now))
 	}
-	for _, l := range s.view.Lapsing(now) {
+	for _, l := range rc.view.Lapsing(now) {
 		c.Lapsing = append(c.Lapsing, lapse{ID: l.ID, ForMS: uint32(l.For.Milliseconds())})
 	}
-	for _, e := range s.view.Evacuations() {
+	for _, e := range rc.view.Evacuations() {
 		c.Places = append(c.Places, wire.PlaceEntry{Place: e.Place, Evacuated: true, Revision: e.Revision})
 	}
 	return c
 }
 
-// packs keeps what was packed for others lately: hundreds of routers ask for the same at
-// the same time.
+// contentCache caches encoded answers for a short time, because hundreds of routers request
+// the same content at the same time.
 type contentCache struct {
 	mu      sync.Mutex
 	entries map[contentRevision]cachedContent
@@ -80,149 +81,151 @@
 type cachedContent struct {
 	raw         []byte
 	at          time.Time
-	publication uint64 // of the publication that it holds
+	publication uint64 // number of the publication that it encodes
 }
 
-// cachedContentTTL is how long a packed answer is given again. Cold times in it are old by as much,
-// which is well within what routers may differ by.
+// cachedContentTTL is how long an encoded answer is reused. The remaining cold periods in it
+// are too long by up to this much, well within the permitted difference between routers.
 const cachedContentTTL = 150 * time.Millisecond
 
-// contentTimeout is how long a peer's question for the content waits for the control goroutine.
+// contentTimeout bounds the wait of a peer's content request for the control goroutine.
 const contentTimeout = time.Second
 
-// Packed returns the content for a peer, or nil while there is none.
-func (s *RoutedController) PackedContent(q conn.Question) []byte {
+// PackedContent returns the encoded content for a peer, or nil while there is none.
+func (rc *RoutedController) PackedContent(q conn.Question) []byte {
 	var h contentRevision
 	if err := cbor.Unmarshal(q.Have, &h); err != nil {
-		h = contentRevision{} // it is given everything
+		h = contentRevision{} // the peer gets the full content
 	}
-	s.contentCache.mu.Lock()
-	defer s.contentCache.mu.Unlock()
-	now, publication := s.now(), s.publications.Load()
-	if p, known := s.contentCache.entries[h]; known && p.publication == publication && now.Sub(p.at) < cachedContentTTL {
+	rc.contentCache.mu.Lock()
+	defer rc.contentCache.mu.Unlock()
+	now, publication := rc.now(), rc.publications.Load()
+	if p, known := rc.contentCache.entries[h]; known && p.publication == publication && now.Sub(p.at) < cachedContentTTL {
 		return p.raw
 	}
-	c, _ := query(&s.controlLoop, contentTimeout, func(now time.Time) *content { return s.contentFor(h, now) })
+	c, _ := query(&rc.controlLoop, contentTimeout, func(now time.Time) *content { return rc.contentFor(h, now) })
 	if c == nil {
 		return nil
 	}
 	raw, err := cbor.Marshal(c)
 	if err != nil {
-		s.log.Error().Err(err).Msg("content-not-encoded")
+		rc.log.Error().Err(err).Msg("content-not-encoded")
 		return nil
 	}
-	s.contentCache.put(h, cachedContent{raw, now, publication})
+	rc.contentCache.put(h, cachedContent{raw, now, publication})
 	return raw
 }
 
-// keep takes a pack, and drops those that are too old to be given.
-func (p *contentCache) put(h contentRevision, new cachedContent) {
-	if p.entries == nil {
-		p.entries = map[contentRevision]cachedContent{}
+// put adds an encoded answer and removes those that have expired.
+func (cache *contentCache) put(h contentRevision, new cachedContent) {
+	if cache.entries == nil {
+		cache.entries = map[contentRevision]cachedContent{}
 	}
-	for other, old := range p.entries {
+	for other, old := range cache.entries {
 		if new.at.Sub(old.at) >= cachedContentTTL {
-			delete(p.entries, other)
+			delete(cache.entries, other)
 		}
 	}
-	p.entries[h] = new
+	cache.entries[h] = new
 }
 
-// have is the part of the content that this router has.
-func (s *RoutedController) knownRevision() contentRevision {
-	if s.needsFullContent {
-		return contentRevision{TableRev: s.view.TableRev}
+// knownRevision returns the revision that this router states in a content request. It
+// states no known revision of the list while it needs the full content.
+func (rc *RoutedController) knownRevision() contentRevision {
+	if rc.needsFullContent {
+		return contentRevision{TableRev: rc.view.TableRev}
 	}
-	return contentRevision{AsOf: s.view.AsOf, TableRev: s.view.TableRev}
+	return contentRevision{AsOf: rc.view.AsOf, TableRev: rc.view.TableRev}
 }
 
-// fetch reads the content from a peer that knows more.
-func (s *RoutedController) fetchContent(from wire.NodeID, have contentRevision) {
-	defer s.Step(dispatch.FetchEnded{})
+// fetchContent fetches content from a peer whose revision is ahead.
+func (rc *RoutedController) fetchContent(from wire.NodeID, have contentRevision) {
+	defer rc.Step(dispatch.FetchEnded{})
 	raw, err := cbor.Marshal(have)
 	if err != nil {
-		s.log.Error().Err(err).Msg("question-not-encoded")
+		rc.log.Error().Err(err).Msg("question-not-encoded")
 		return
 	}
-	q := conn.Question{Method: conn.MethodContent, Asker: string(s.id), Have: raw}
-	if raw, err = conn.Fetch(context.Background(), q, string(from), s.sealer); err != nil {
-		s.log.Info().Err(err).Str("peer", string(from)).Msg("content-fetch-failed")
+	q := conn.Question{Method: conn.MethodContent, Asker: string(rc.id), Have: raw}
+	if raw, err = conn.Fetch(context.Background(), q, string(from), rc.sealer); err != nil {
+		rc.log.Info().Err(err).Str("peer", string(from)).Msg("content-fetch-failed")
 		return
 	}
 	var c content
 	if err := cbor.Unmarshal(raw, &c); err != nil {
-		s.log.Warn().Err(err).Str("peer", string(from)).Msg("content-unreadable")
+		rc.log.Warn().Err(err).Str("peer", string(from)).Msg("content-unreadable")
 		return
 	}
 	var t *routing.Table
 	if len(c.TableRaw) > 0 {
-		if t, err = s.source.Table(c.TableRaw); err != nil {
-			s.log.Warn().Err(err).Str("peer", string(from)).Msg("table-unreadable")
+		if t, err = rc.source.Table(c.TableRaw); err != nil {
+			rc.log.Warn().Err(err).Str("peer", string(from)).Msg("table-unreadable")
 			return
 		}
 	}
-	s.enqueue(func(now time.Time) { s.applyPeerContent(from, c, t, len(raw), now) })
+	rc.enqueue(func(now time.Time) { rc.applyPeerContent(from, c, t, len(raw), now) })
 }
 
-// adopt takes a peer's content where it is ahead of the own.
-func (s *RoutedController) applyPeerContent(from wire.NodeID, c content, t *routing.Table, bytes int, now time.Time) {
-	before := s.tableVersion()
+// applyPeerContent applies a peer's content where it is ahead of this router's.
+func (rc *RoutedController) applyPeerContent(from wire.NodeID, c content, t *routing.Table, bytes int, now time.Time) {
+	before := rc.tableVersion()
 	if t != nil {
-		s.view.SetTable(t, c.TableRaw, c.TableRev)
+		rc.view.SetTable(t, c.TableRaw, c.TableRev)
 	}
 	var list []routing.Instance
 	for _, e := range c.Instances {
 		list = append(list, instanceOf(e, now))
 	}
-	if c.Base <= s.view.AsOf {
-		s.enterEra(c.AsOf, list, now)
-		s.view.ReplaceEvacuations(evacuationsOf(c.Places), c.AsOf, now)
-		s.applyPeerEntries(c, list, now)
-		s.view.Revision = max(s.view.Revision, c.Revision)
+	if c.Base <= rc.view.AsOf {
+		rc.enterEra(c.AsOf, list, now)
+		rc.view.ReplaceEvacuations(evacuationsOf(c.Places), c.AsOf, now)
+		rc.applyPeerEntries(c, list, now)
+		rc.view.Revision = max(rc.view.Revision, c.Revision)
 	}
-	s.asOf.Store(s.view.AsOf)
-	s.publish(now)
-	s.log.Info().Str("peer", string(from)).Uint64("version", s.tableVersion()).Uint64("before", before).Uint64("revision", c.Revision).
+	rc.asOf.Store(rc.view.AsOf)
+	rc.publish(now)
+	rc.log.Info().Str("peer", string(from)).Uint64("version", rc.tableVersion()).Uint64("before", before).Uint64("revision", c.Revision).
 		Uint64("since", c.Base).Int("entries", len(list)).Int("removed", len(c.Removed)).Int("bytes", bytes).Msg("content-from-peer")
-	s.checkSum(from, c, now)
+	rc.checkSum(from, c, now)
 }
 
-// applyPeerEntries takes the entries of a peer's content.
-func (s *RoutedController) applyPeerEntries(c content, list []routing.Instance, now time.Time) {
+// applyPeerEntries applies the instances of a peer's content to the view.
+func (rc *RoutedController) applyPeerEntries(c content, list []routing.Instance, now time.Time) {
 	switch {
 	case c.Base == 0:
-		s.needsFullContent = s.needsFullContent && c.AsOf < s.view.AsOf // an older list is not taken
-		s.view.Replace(list, c.AsOf, now)
-	case c.AsOf > s.view.AsOf:
-		s.applyPeerChanges(list, c.Removed, c.AsOf, now)
+		rc.needsFullContent = rc.needsFullContent && c.AsOf < rc.view.AsOf // the view ignores an older list
+		rc.view.Replace(list, c.AsOf, now)
+	case c.AsOf > rc.view.AsOf:
+		rc.applyPeerChanges(list, c.Removed, c.AsOf, now)
 	}
 	for _, l := range c.Lapsing {
-		s.view.Lapse(routing.Lapse{ID: l.ID, For: time.Duration(l.ForMS) * time.Millisecond}, c.AsOf, now)
+		rc.view.Lapse(routing.Lapse{ID: l.ID, For: time.Duration(l.ForMS) * time.Millisecond}, c.AsOf, now)
 	}
 }
 
-// applyPeerChanges takes what a peer knows of changes up to a revision.
-func (s *RoutedController) applyPeerChanges(put []routing.Instance, removed []string, asOf uint64, now time.Time) {
+// applyPeerChanges applies a peer's changes up to the revision asOf.
+func (rc *RoutedController) applyPeerChanges(put []routing.Instance, removed []string, asOf uint64, now time.Time) {
 	for _, i := range put {
-		s.view.Put(i, asOf)
+		rc.view.Put(i, asOf)
 	}
 	for _, id := range removed {
-		s.view.Remove(id, asOf, now)
+		rc.view.Remove(id, asOf, now)
 	}
-	s.view.Complete(asOf)
+	rc.view.Complete(asOf)
 }
 
-// checkSum compares the list that results from a peer's changes with the peer's own. Where
-// they differ, something was missed before: all of it is read, from another router.
-func (s *RoutedController) checkSum(from wire.NodeID, c content, now time.Time) {
-	if c.Base == 0 || c.Base > s.view.AsOf || c.AsOf != s.view.AsOf || c.Sum == s.view.Sum() {
+// checkSum compares the checksum of the list that results from a peer's changes with the
+// peer's own. A difference means that this router missed an earlier change: it reads the
+// full content from another router.
+func (rc *RoutedController) checkSum(from wire.NodeID, c content, now time.Time) {
+	if c.Base == 0 || c.Base > rc.view.AsOf || c.AsOf != rc.view.AsOf || c.Sum == rc.view.Sum() {
 		return
 	}
-	other := s.node.Another(from, now)
-	s.log.Warn().Str("peer", string(from)).Uint64("as_of", c.AsOf).Str("reads_from", string(other)).Msg("content-differs")
-	s.needsFullContent = true
+	other := rc.node.Another(from, now)
+	rc.log.Warn().Str("peer", string(from)).Uint64("as_of", c.AsOf).Str("reads_from", string(other)).Msg("content-differs")
+	rc.needsFullContent = true
 	if other != "" {
-		go s.fetchContent(other, s.knownRevision())
+		go rc.fetchContent(other, rc.knownRevision())
 	}
 }
 
@@ -233,11 +236,12 @@
 	return out
 }
 
-// maxDeltaEntries is how many entries a change told by datagram may hold: more do not fit well
-// into one, and are read by those who are told of the revision.
+// maxDeltaEntries is the maximum number of entries in a delta announced by datagram. More
+// do not fit well into a datagram; peers then learn the revision only, and fetch the content.
 const maxDeltaEntries = 200
 
-// told is a change as it is told by datagram.
+// announcedDelta returns the delta to announce by datagram: without its entries if there
+// are too many.
 func announcedDelta(d *wire.StoreDelta) *wire.StoreDelta {
 	if d == nil || len(d.Put)+len(d.Removed) <= maxDeltaEntries {
 		return d
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -18,13 +18,14 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Names of the values the platform publishes.
+// Names of the values that the platform publishes.
 const (
 	ValueConfiguration = "configuration"
 	ValueVMs           = "vms"
 )
 
-// HeaderRevision is the platform's revision of a value, for the next watch.
+// HeaderRevision is the header with the revision of a value, from which the next watch
+// continues.
 const HeaderRevision = "X-Revision"
 
 const (
@@ -34,7 +35,7 @@
 	maxPlatformRetryPause = 10 * time.Second
 )
 
-// VM is one entry of the VM list.
+// VM is an entry of the VM list.
 type VM struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`    // router or upstream
@@ -42,15 +43,15 @@
 	State   string `json:"state"`   // live or leaving
 }
 
-// VMList is the platform's list of VMs. It lags.
+// VMList is the platform's list of VMs. It lags behind the actual state.
 type VMList struct {
 	VMs []VM `json:"vms"`
 }
 
-// errPlatform is a platform that cannot be read.
+// errPlatform is the type of errors in reading from the platform.
 var errPlatform = errorx.NewNamespace("platform").NewType("read")
 
-// Platform reads the platform's values by long polls.
+// Platform reads the platform's values by long polling.
 type Platform struct {
 	base     string
 	client   *http.Client
@@ -60,7 +61,7 @@
 	failures metrics.Counter
 }
 
-// NewPlatform returns a reader of the platform at a base URL.
+// NewPlatform returns a reader of the platform at the URL base.
 func NewPlatform(base string, ctrl *AppController, log zerolog.Logger, reg metrics.Registry) *Platform {
 	return &Platform{
 		base:     base,
@@ -72,13 +73,13 @@
 	}
 }
 
-// WatchConfiguration offers each published version to the driver, while this
-// router is one of its place's readers.
+// WatchConfiguration passes each published version to the controller while this router is
+// one of its place's readers of the configuration.
 func (p *Platform) WatchConfiguration(ctx context.Context) {
 	p.watch(ctx, ValueConfiguration, p.ctrl.Watches, p.ctrl.OfferVersion)
 }
 
-// WatchVMs keeps the driver's roster and leaving upstreams up to date.
+// WatchVMs keeps the controller's roster of routers and the leaving upstreams up to date.
 func (p *Platform) WatchVMs(ctx context.Context) {
 	leaving := map[string]bool{}
 	p.watch(ctx, ValueVMs, func() bool { return true }, func(raw []byte) {
@@ -91,8 +92,8 @@
 	})
 }
 
-// applyVMList hands the list to the core. leaving remembers which upstreams the
-// list called leaving, so that only the list takes that back.
+// applyVMList passes the list to the controller. leaving holds the addresses that earlier
+// lists marked as leaving, so that an upstream is only undrained if the list drained it.
 func (p *Platform) applyVMList(list VMList, leaving map[string]bool) {
 	var routers []wire.NodeID
 	for _, vm := range list.VMs {
@@ -111,7 +112,7 @@
 	p.ctrl.Step(core.Roster{Routers: routers})
 }
 
-// drain marks every upstream at an address. A VM may serve several.
+// drainAddress drains or undrains every upstream at an address. A VM may serve several.
 func (p *Platform) drainAddress(addr string, leaving bool) {
 	v := p.ctrl.Version()
 	if v == nil {
@@ -129,7 +130,7 @@
 	}
 }
 
-// watch reads a value again and again while wanted, and hands on each new one.
+// watch polls a value while wanted returns true, and passes each new one to take.
 func (p *Platform) watch(ctx context.Context, name string, wanted func() bool, take func([]byte)) {
 	after := ""
 	pause := minPlatformRetryPause
@@ -154,7 +155,8 @@
 	}
 }
 
-// read returns the value newer than a revision, or nil after the wait.
+// read returns the value and its revision if it is newer than the revision after, or nil
+// when the long poll ends without one.
 func (p *Platform) read(ctx context.Context, name, after string) ([]byte, string, error) {
 	p.calls.Inc(1)
 	q := url.Values{"wait": {strconv.Itoa(int(platformWatchTimeout.Seconds()))}}
--- a/internal/process/quarantine.go
+++ b/internal/process/quarantine.go
@@ -13,22 +13,22 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// quarantineSnapshot is what requests see of the control state's list of those that crash
-// upstreams. It may be read by any goroutine.
+// quarantineSnapshot is the published copy of the control state's list of requests that
+// crash upstreams. Any goroutine may read it.
 type quarantineSnapshot struct {
 	view atomic.Pointer[quarantine.View]
 }
 
-// publish takes a copy of the list, if it has changed.
-func (h *quarantineSnapshot) publish(view quarantine.View, changed bool) {
+// publish stores a copy of the list if it has changed.
+func (q *quarantineSnapshot) publish(view quarantine.View, changed bool) {
 	if changed {
-		h.view.Store(&view)
+		q.view.Store(&view)
 	}
 }
 
-// of returns what is known of an organisation's requests.
-func (h *quarantineSnapshot) forOrg(org version.ID) map[fingerprint.Fingerprint]quarantine.State {
-	view := h.view.Load()
+// forOrg returns the state of an organisation's requests on the list, by fingerprint.
+func (q *quarantineSnapshot) forOrg(org version.ID) map[fingerprint.Fingerprint]quarantine.State {
+	view := q.view.Load()
 	if view == nil || len(*view) == 0 {
 		return nil
 	}
@@ -36,49 +36,53 @@
 }
 
 // Quarantined implements forward.Control.
-func (s *RoutedController) Quarantined(org string) map[fingerprint.Fingerprint]quarantine.State {
-	return s.quarantined.forOrg(version.IDOf(org))
+func (rc *RoutedController) Quarantined(org string) map[fingerprint.Fingerprint]quarantine.State {
+	return rc.quarantined.forOrg(version.IDOf(org))
 }
 
 // Broke implements forward.Control.
-func (s *RoutedController) Broke(b dispatch.Broke) { s.Step(b) }
+func (rc *RoutedController) Broke(b dispatch.Broke) { rc.Step(b) }
 
 // ConnRefused implements forward.Control.
-func (s *RoutedController) ConnRefused(i routing.Instance) { s.Step(dispatch.ConnRefused{Instance: i}) }
+func (rc *RoutedController) ConnRefused(i routing.Instance) {
+	rc.Step(dispatch.ConnRefused{Instance: i})
+}
 
 // AnsweredWhole implements forward.Control.
-func (s *RoutedController) AnsweredWhole(f fingerprint.Fingerprint) {
-	s.Step(dispatch.Answered{Content: f})
+func (rc *RoutedController) AnsweredWhole(f fingerprint.Fingerprint) {
+	rc.Step(dispatch.Answered{Content: f})
 }
 
-// probe looks whether an upstream that broke an answer has ended.
-func (s *RoutedController) probe(i routing.Instance) {
-	if s.exchanges.Refuses(context.Background(), i.Address) {
-		s.ConnRefused(i)
+// probe checks whether an upstream that broke off an answer has ended: its address then
+// refuses connections.
+func (rc *RoutedController) probe(i routing.Instance) {
+	if rc.exchanges.Refuses(context.Background(), i.Address) {
+		rc.ConnRefused(i)
 	}
 }
 
 // Quarantined implements request.Control.
-func (d *AppController) Quarantined(org version.ID) map[fingerprint.Fingerprint]quarantine.State {
-	return d.quarantined.forOrg(org)
+func (c *AppController) Quarantined(org version.ID) map[fingerprint.Fingerprint]quarantine.State {
+	return c.quarantined.forOrg(org)
 }
 
 // Broke implements request.Control.
-func (d *AppController) Broke(b core.Broke) { d.Step(b) }
+func (c *AppController) Broke(b core.Broke) { c.Step(b) }
 
 // ConnRefused implements request.Control.
-func (d *AppController) ConnRefused(up version.ID) { d.Step(core.ConnRefused{Upstream: up}) }
+func (c *AppController) ConnRefused(up version.ID) { c.Step(core.ConnRefused{Upstream: up}) }
 
 // AnsweredWhole implements request.Control.
-func (d *AppController) AnsweredWhole(f fingerprint.Fingerprint) { d.Step(core.Answered{Content: f}) }
+func (c *AppController) AnsweredWhole(f fingerprint.Fingerprint) { c.Step(core.Answered{Content: f}) }
 
-// probe looks whether an upstream that broke an answer has ended.
-func (d *AppController) probe(up version.ID) {
-	v := d.version.Load()
+// probe checks whether an upstream that broke off an answer has ended: its address then
+// refuses connections.
+func (c *AppController) probe(up version.ID) {
+	v := c.version.Load()
 	if v == nil || v.Upstreams[up] == nil {
-		return // a new configuration has taken it away
+		return // removed by a new configuration
 	}
 	if conn.Refuses(context.Background(), v.Upstreams[up].Address) {
-		d.ConnRefused(up)
+		c.ConnRefused(up)
 	}
 }
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -9,17 +9,17 @@
 	"github.com/rs/zerolog"
 )
 
-// settingsPollInterval is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is checked for changes that come
 // without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// reloadable are the fields of Settings that a running process takes; all others
-// wait for a restart.
+// reloadable holds the names of the fields of Settings that a running process applies. All
+// others require a restart.
 var reloadable = map[string]bool{"Seeds": true, "Retry": true, "Cold": true, "Wait": true, "Bound": true, "LogLevel": true}
 
-// WatchSettings reads the settings file again at each hang-up signal and when it
-// has changed, and applies what may change in a running process. A file with
-// faults is reported and changes nothing. It returns when the channel is closed.
+// WatchSettings reads the settings file again at each hang-up signal and whenever it has
+// changed, and applies the settings that may change in a running process. An invalid file
+// is logged and changes nothing. It returns when the channel is closed.
 func WatchSettings(path string, set Settings, hangups <-chan os.Signal, apply func(Settings), log zerolog.Logger) {
 	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// stamp tells one state of a file from another.
+// fileStamp returns the modification time and size of a file, by which changes are detected.
 func fileStamp(path string) (s struct {
 	at   time.Time
 	size int64
@@ -51,7 +51,7 @@
 	return s
 }
 
-// reload returns the settings in force after reading the file again.
+// reloadSettings reads the file again, applies its settings and returns those in force.
 func reloadSettings(path string, set Settings, apply func(Settings), log zerolog.Logger) Settings {
 	next, err := LoadSettings(path)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return next
 }
 
-// differences names the fields that differ: those that a running process takes,
-// and those that wait.
+// diffSettings returns the names of the fields that differ: those that a running process
+// applies, and those that wait for a restart.
 func diffSettings(a, b Settings) (changed, waiting []string) {
 	va, vb := reflect.ValueOf(a), reflect.ValueOf(b)
 	for i := range va.NumField() {
--- a/internal/process/reportlog.go
+++ b/internal/process/reportlog.go
@@ -6,7 +6,7 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// logReport writes the line of one of the node's reports.
+// logReport logs one of the node's reports.
 func logReport(log zerolog.Logger, o dispatch.Output) {
 	switch o := o.(type) {
 	case dispatch.ShareReport:
@@ -27,7 +27,7 @@
 	}
 }
 
-// logCold writes the line of an upstream that is believed to have turned cold, or warm.
+// logCold logs that an upstream is now considered cold, or warm again.
 func logCold(log zerolog.Logger, o dispatch.ColdChange) {
 	if o.For <= 0 {
 		log.Info().Str("upstream", o.Instance.ID).Str("place", o.Instance.Place).Msg("upstream-warm")
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -17,9 +17,10 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// Steerer runs a dispatch.Node and the view of the platform's store: it is the
-// one goroutine that touches control state of the routed interface, and the
-// adapter through which all others ask it. It implements forward.Control.
+// RoutedController runs the control state of the routed interface: a dispatch.Node and
+// the view of the platform's store. A single control goroutine accesses both; all other
+// goroutines use the methods of RoutedController, which queue work for it or read
+// published copies. It implements forward.Control.
 type RoutedController struct {
 	id        wire.NodeID
 	node      *dispatch.Node // control goroutine only
@@ -36,9 +37,9 @@
 	ready            atomic.Bool
 	watches          atomic.Bool
 	asOf             atomic.Uint64
-	scheduledEngines atomic.Pointer[[]routing.Instance] // that this router schedules
+	scheduledEngines atomic.Pointer[[]routing.Instance] // engines that this router schedules
 	leaving          atomic.Bool
-	OnTable          func(routing.Limits) // called for each accepted table, set before Run
+	OnTable          func(routing.Limits) // called with the limits of each accepted table; set before Run
 
 	tickets  map[uint64]*forward.Ticket // control goroutine only
 	ticks    int
@@ -50,17 +51,17 @@
 	admissionUntil       time.Time // control goroutine only
 	quarantined          quarantineSnapshot
 	availability         availability
-	loggedUnknownService map[string]bool // control goroutine only: starts whose service no table names
-	publishedTable       *routing.Table  // control goroutine only: the last that was handed on
+	loggedUnknownService map[string]bool // control goroutine only: by instance start, where a missing service was logged
+	publishedTable       *routing.Table  // control goroutine only: table of the last publication
 	contentCache         contentCache
 
-	publications     atomic.Uint64 // how often the view was published
-	needsFullContent bool          // control goroutine only: the next read of a peer's content is of all of it
+	publications     atomic.Uint64 // number of times the view was published
+	needsFullContent bool          // control goroutine only: the next fetch from a peer asks for the full content
 	sent             sentMetrics
-	maxRetryPauseNS  atomic.Int64 // nanoseconds
+	maxRetryPauseNS  atomic.Int64
 }
 
-// Status is what operators see of the control state.
+// Status is the control state as shown to operators.
 type Status struct {
 	Router    wire.NodeID              `json:"router"`
 	Ready     bool                     `json:"ready"`
@@ -76,7 +77,7 @@
 	Role      dispatch.Role            `json:"role"`
 }
 
-// NewRoutedController returns a steerer that is not running yet.
+// NewRoutedController returns a controller that is not running yet.
 func NewRoutedController(set dispatch.Settings, source Source, route *conn.Route, sealer *conn.Sealer, exchanges *conn.Exchanges, log zerolog.Logger) *RoutedController {
 	now := clock.System.Now()
 	s := &RoutedController{
@@ -99,207 +100,210 @@
 	return s
 }
 
-// refreshClock logs a suspension. The node takes it for a pause: what it believes of
-// others is older by that much.
+// refreshClock adds a suspension of the VM to the clock and logs it. The node handles the
+// suspension like a pause of the process: its information about other routers is older by
+// that duration.
 func refreshClock(c *clock.Clock, log zerolog.Logger) {
 	if jump := c.Refresh(); jump > 0 {
 		log.Info().Int64("suspended_ms", jump.Milliseconds()).Msg("suspended")
 	}
 }
 
-// Run is the control goroutine. It ends with the context.
-func (s *RoutedController) Run(ctx context.Context) {
-	go s.overload.run(ctx)
-	s.run(ctx, dispatch.TickEvery, s, s.log)
+// Run runs the control goroutine until the context ends.
+func (rc *RoutedController) Run(ctx context.Context) {
+	go rc.overload.run(ctx)
+	rc.run(ctx, dispatch.TickEvery, rc, rc.log)
 }
 
-func (s *RoutedController) receive(m *wire.Datagram, now time.Time) {
-	s.node.Step(dispatch.Receive{Datagram: m}, now)
+func (rc *RoutedController) receive(m *wire.Datagram, now time.Time) {
+	rc.node.Step(dispatch.Receive{Datagram: m}, now)
 }
 
-func (s *RoutedController) flush(now time.Time) { s.handleOutputs(s.node.Ready(now)) }
+func (rc *RoutedController) flush(now time.Time) { rc.handleOutputs(rc.node.Ready(now)) }
 
-// readinessCheckTicks is how many ticks lie between two judgements of readiness.
+// readinessCheckTicks is the number of ticks between readiness checks.
 const readinessCheckTicks = 25
 
-// shedReportTicks is how many ticks lie between two reports of work refused at the
-// door; shares are counted in steps of 250 ms.
+// shedReportTicks is the number of ticks between reports of shed work to the node, which
+// counts shares in steps of 250 ms.
 const shedReportTicks = 20
 
-// overloadLogTicks is how many ticks lie between two lines on the processor while it is short.
+// overloadLogTicks is the number of ticks between log lines on CPU use during an overload.
 const overloadLogTicks = 50
 
-// admissionTicks is how many ticks lie between two judgements of what is let in at the door.
+// admissionTicks is the number of ticks between updates of the admission ratios.
 const admissionTicks = 10
 
-// watchCheckTicks is how many ticks lie between two judgements of who watches.
+// watchCheckTicks is the number of ticks between checks whether this router watches the source.
 const watchCheckTicks = 10
 
-func (s *RoutedController) tick(now time.Time) {
-	if s.view.Tick(now) {
-		s.publish(now)
+func (rc *RoutedController) tick(now time.Time) {
+	if rc.view.Tick(now) {
+		rc.publish(now)
 	}
-	s.node.Tick(now)
-	s.quarantined.publish(s.node.Quarantine())
-	s.ticks++
-	if on := s.Excess() > 0; on != s.overloaded {
-		s.overloaded = on
-		s.node.Step(dispatch.Strained{On: on}, now)
-		s.log.Info().Bool("on", on).Float64("excess", s.Excess()).Msg("short-of-processor")
+	rc.node.Tick(now)
+	rc.quarantined.publish(rc.node.Quarantine())
+	rc.ticks++
+	if on := rc.Excess() > 0; on != rc.overloaded {
+		rc.overloaded = on
+		rc.node.Step(dispatch.Strained{On: on}, now)
+		rc.log.Info().Bool("on", on).Float64("excess", rc.Excess()).Msg("short-of-processor")
 	}
-	if s.overloaded && s.ticks%overloadLogTicks == 0 {
-		s.log.Info().Float64("use", s.overload.cpuUse()).Int64("lag_us", s.overload.lag.lag().Microseconds()).Float64("excess", s.Excess()).Msg("processor-use")
+	if rc.overloaded && rc.ticks%overloadLogTicks == 0 {
+		rc.log.Info().Float64("use", rc.overload.cpuUse()).Int64("lag_us", rc.overload.lag.lag().Microseconds()).Float64("excess", rc.Excess()).Msg("processor-use")
 	}
-	if s.ticks%shedReportTicks == 0 {
-		if work := s.shed.take(); len(work) > 0 {
-			s.node.Step(dispatch.Turned{Work: work}, now)
+	if rc.ticks%shedReportTicks == 0 {
+		if work := rc.shed.take(); len(work) > 0 {
+			rc.node.Step(dispatch.Turned{Work: work}, now)
 		}
 	}
-	if s.ticks%admissionTicks == 0 {
-		s.publishAdmitRatios(now)
+	if rc.ticks%admissionTicks == 0 {
+		rc.publishAdmitRatios(now)
 	}
-	if s.ticks%watchCheckTicks == 0 {
-		if on := s.node.Watches(now); s.watches.Swap(on) != on {
-			s.log.Info().Bool("on", on).Bool("chosen", s.node.IsWatcher(now)).Msg("reads-source")
+	if rc.ticks%watchCheckTicks == 0 {
+		if on := rc.node.Watches(now); rc.watches.Swap(on) != on {
+			rc.log.Info().Bool("on", on).Bool("chosen", rc.node.IsWatcher(now)).Msg("reads-source")
 		}
-		s.maxRetryPauseNS.Store(int64(s.maxRetryPauseAt(now)))
-		scheduledEngines := s.node.Scheduled(now)
-		s.scheduledEngines.Store(&scheduledEngines)
+		rc.maxRetryPauseNS.Store(int64(rc.maxRetryPauseAt(now)))
+		scheduledEngines := rc.node.Scheduled(now)
+		rc.scheduledEngines.Store(&scheduledEngines)
 	}
-	if s.ticks%readinessCheckTicks == 0 {
-		s.updateReady(now)
+	if rc.ticks%readinessCheckTicks == 0 {
+		rc.updateReady(now)
 	}
 }
 
-// maxRetryPauseAt is the longest pause between two tries of a source that fails. Routers
-// that look only because nobody else could share one rate between them.
-func (s *RoutedController) maxRetryPauseAt(now time.Time) time.Duration {
-	if s.node.IsWatcher(now) {
+// maxRetryPauseAt returns the longest pause between two attempts to read a failing source.
+// Routers that are no chosen watchers read it only because no other router could, so their
+// pause grows with the number of routers, which keeps the rate of the whole fleet constant.
+func (rc *RoutedController) maxRetryPauseAt(now time.Time) time.Duration {
+	if rc.node.IsWatcher(now) {
 		return maxSourceRetryPause
 	}
-	return max(maxSourceRetryPause, time.Duration(len(s.node.Routers()))*sourceRetryPausePerRouter)
+	return max(maxSourceRetryPause, time.Duration(len(rc.node.Routers()))*sourceRetryPausePerRouter)
 }
 
-func (s *RoutedController) tableVersion() uint64 {
-	if s.view.Table == nil {
+func (rc *RoutedController) tableVersion() uint64 {
+	if rc.view.Table == nil {
 		return 0
 	}
-	return s.view.Table.Number
+	return rc.view.Table.Number
 }
 
-// act carries out the node's outputs.
-func (s *RoutedController) handleOutputs(outs []dispatch.Output) {
+// handleOutputs carries out the node's outputs.
+func (rc *RoutedController) handleOutputs(outs []dispatch.Output) {
 	for _, o := range outs {
 		switch o := o.(type) {
 		case dispatch.Send:
-			s.sent.count(o.Datagram, s.route.Send(o.To, o.Datagram), s.node.IsNear(o.To))
+			rc.sent.count(o.Datagram, rc.route.Send(o.To, o.Datagram), rc.node.IsNear(o.To))
 		case dispatch.Place:
-			if t := s.tickets[o.ID]; t != nil {
+			if t := rc.tickets[o.ID]; t != nil {
 				t.Decide(forward.Decision{Place: &o})
 			}
 		case dispatch.Refuse:
-			if t := s.tickets[o.ID]; t != nil {
-				delete(s.tickets, o.ID)
+			if t := rc.tickets[o.ID]; t != nil {
+				delete(rc.tickets, o.ID)
 				t.Decide(forward.Decision{Refusal: o})
 			}
 		case dispatch.Fetch:
-			go s.fetchContent(o.From, s.knownRevision())
+			go rc.fetchContent(o.From, rc.knownRevision())
 		case dispatch.FetchSnapshot:
-			go s.fetchSnapshot(o)
+			go rc.fetchSnapshot(o)
 		case dispatch.Apply:
-			s.applyPeerDelta(o)
+			rc.applyPeerDelta(o)
 		case dispatch.StoreBack:
-			s.view.StoreReturned(o.At)
-			s.log.Info().Str("peer", string(o.From)).Int64("age_ms", s.now().Sub(o.At).Milliseconds()).Msg("source-back-at-peer")
+			rc.view.StoreReturned(o.At)
+			rc.log.Info().Str("peer", string(o.From)).Int64("age_ms", rc.now().Sub(o.At).Milliseconds()).Msg("source-back-at-peer")
 		case dispatch.Gone:
-			s.exchanges.Forget(o.Instance.Address)
+			rc.exchanges.Forget(o.Instance.Address)
 			cut := 0
 			if o.Restarted {
-				cut = s.exchanges.Abort(o.Instance.Start())
+				cut = rc.exchanges.Abort(o.Instance.Start())
 			}
-			s.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Int64("born", o.Instance.Born).Bool("restarted", o.Restarted).Int("cut", cut).
-				Uint64("revision", s.view.Revision).Msg("upstream-gone")
+			rc.log.Info().Str("upstream", o.Instance.ID).Str("address", o.Instance.Address).Int64("born", o.Instance.Born).Bool("restarted", o.Restarted).Int("cut", cut).
+				Uint64("revision", rc.view.Revision).Msg("upstream-gone")
 		case dispatch.Leaving:
-			s.drainUpstream(o)
+			rc.drainUpstream(o)
 		case dispatch.Probe:
-			go s.probe(o.Instance)
+			go rc.probe(o.Instance)
 		case dispatch.ShareReport, dispatch.EngineReport, dispatch.AloneReport, dispatch.UpstreamEnded, dispatch.QuarantineReport:
-			logReport(s.log, o)
+			logReport(rc.log, o)
 		case dispatch.ColdChange:
-			logCold(s.log, o)
+			logCold(rc.log, o)
 		case dispatch.Event:
-			s.log.Info().Str("peer", string(o.Router)).Uint64("value", o.Value).Str("detail", o.Detail).Msg(o.Name)
+			rc.log.Info().Str("peer", string(o.Router)).Uint64("value", o.Value).Str("detail", o.Detail).Msg(o.Name)
 		}
 	}
 }
 
-// SourceFailed says that the source did not answer.
-func (s *RoutedController) SourceFailed() { s.Step(dispatch.Unsighted{}) }
+// SourceFailed tells the node that reading the source failed.
+func (rc *RoutedController) SourceFailed() { rc.Step(dispatch.Unsighted{}) }
 
-// MaxRetryPause is the longest pause between two tries of a source that fails.
-func (s *RoutedController) MaxRetryPause() time.Duration {
-	return time.Duration(s.maxRetryPauseNS.Load())
+// MaxRetryPause returns the longest pause between two attempts to read a failing source.
+func (rc *RoutedController) MaxRetryPause() time.Duration {
+	return time.Duration(rc.maxRetryPauseNS.Load())
 }
 
-// updateReady: a router is ready once it has its table and knows its fleet.
-func (s *RoutedController) updateReady(now time.Time) {
-	ready := s.view.Table != nil && s.node.KnowsFleet(now) && !s.leaving.Load()
-	if s.ready.Swap(ready) != ready {
-		s.log.Info().Bool("ready", ready).Uint64("version", s.tableVersion()).Int("routers", len(s.node.Routers())).Msg("readiness")
+// updateReady publishes whether this router is ready: it has a routing table, knows its
+// fleet and is not leaving.
+func (rc *RoutedController) updateReady(now time.Time) {
+	ready := rc.view.Table != nil && rc.node.KnowsFleet(now) && !rc.leaving.Load()
+	if rc.ready.Swap(ready) != ready {
+		rc.log.Info().Bool("ready", ready).Uint64("version", rc.tableVersion()).Int("routers", len(rc.node.Routers())).Msg("readiness")
 	}
 }
 
-// Step gives the node one input.
-func (s *RoutedController) Step(in dispatch.Input) {
-	s.enqueue(func(now time.Time) { s.node.Step(in, now) })
+// Step queues one input for the node.
+func (rc *RoutedController) Step(in dispatch.Input) {
+	rc.enqueue(func(now time.Time) { rc.node.Step(in, now) })
 }
 
-// Scheduled returns the engines that this router schedules.
-func (s *RoutedController) ScheduledEngines() []routing.Instance {
-	if p := s.scheduledEngines.Load(); p != nil {
+// ScheduledEngines returns the engines that this router schedules.
+func (rc *RoutedController) ScheduledEngines() []routing.Instance {
+	if p := rc.scheduledEngines.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
-// Leave begins the planned stop.
-func (s *RoutedController) Leave() {
-	s.leaving.Store(true)
-	s.enqueue(func(now time.Time) {
-		s.node.Step(dispatch.Leave{}, now)
-		s.updateReady(now)
+// Leave begins the planned stop: the router becomes unready and the node is told to leave.
+func (rc *RoutedController) Leave() {
+	rc.leaving.Store(true)
+	rc.enqueue(func(now time.Time) {
+		rc.node.Step(dispatch.Leave{}, now)
+		rc.updateReady(now)
 	})
 }
 
-// Open returns the requests that have no outcome yet, 0 after the end.
-func (s *RoutedController) Open() int {
-	n, _ := query(&s.controlLoop, openRequestsTimeout, func(time.Time) int { return len(s.tickets) })
+// Open returns the number of requests without an outcome, or 0 once the control goroutine has ended.
+func (rc *RoutedController) Open() int {
+	n, _ := query(&rc.controlLoop, openRequestsTimeout, func(time.Time) int { return len(rc.tickets) })
 	return n
 }
 
-// Ready reports whether the balancer may send callers here.
-func (s *RoutedController) Ready() bool { return s.ready.Load() }
+// Ready reports whether the load balancer may send requests here.
+func (rc *RoutedController) Ready() bool { return rc.ready.Load() }
 
-// Watches reports whether this router is to read the source itself.
-func (s *RoutedController) Watches() bool { return s.watches.Load() }
+// Watches reports whether this router should read the source itself.
+func (rc *RoutedController) Watches() bool { return rc.watches.Load() }
 
-// AsOf returns the revision up to which every change is known.
-func (s *RoutedController) AsOf() uint64 { return s.asOf.Load() }
+// AsOf returns the store revision up to which every change is known.
+func (rc *RoutedController) AsOf() uint64 { return rc.asOf.Load() }
 
-// statusTimeout is how long a question for the status waits for the control goroutine.
+// statusTimeout bounds the wait of a status request for the control goroutine.
 const statusTimeout = time.Second
 
-// Status returns the control state, or nil when the control goroutine does not answer. It is
-// put together when it is asked for: a list of thousands of upstreams is too much to copy
-// all the time.
-func (s *RoutedController) Status() *Status {
-	status, _ := query(&s.controlLoop, statusTimeout, s.statusAt)
+// Status returns the control state, or nil when the control goroutine does not answer in
+// time. It is assembled on request, because copying a list of thousands of upstreams
+// periodically would cost too much.
+func (rc *RoutedController) Status() *Status {
+	status, _ := query(&rc.controlLoop, statusTimeout, rc.statusAt)
 	return status
 }
 
-func (s *RoutedController) statusAt(now time.Time) *Status {
+func (rc *RoutedController) statusAt(now time.Time) *Status {
 	return &Status{
-		Router: s.id, Ready: s.ready.Load(), Leaving: s.leaving.Load(), Version: s.tableVersion(), Revision: s.view.Revision,
-		Running: len(s.tickets), Routers: s.node.Routers(), Upstreams: s.node.Upstreams(now), Evacuated: s.view.Evacuations(), Held: s.node.Held(now), Counts: s.node.Counts, Role: s.node.Role(now),
+		Router: rc.id, Ready: rc.ready.Load(), Leaving: rc.leaving.Load(), Version: rc.tableVersion(), Revision: rc.view.Revision,
+		Running: len(rc.tickets), Routers: rc.node.Routers(), Upstreams: rc.node.Upstreams(now), Evacuated: rc.view.Evacuations(), Held: rc.node.Held(now), Counts: rc.node.Counts, Role: rc.node.Role(now),
 	}
 }
--- a/internal/process/routeddaemon.go
+++ b/internal/process/routeddaemon.go
@@ -23,9 +23,9 @@
 	"github.com/silverswitch/silverswitch/internal/request/forward"
 )
 
-// Routed is one router process of the routed interface.
+// RoutedDaemon is a router process that serves the routed interface.
 type RoutedDaemon struct {
-	mu             sync.Mutex // of the times of a planned stop
+	mu             sync.Mutex // guards set.Wait and set.Bound
 	set            Settings
 	log            zerolog.Logger
 	ctrl           *RoutedController
@@ -41,27 +41,27 @@
 }
 
 const (
-	// memoryLimitRatio is the part of the VM's memory that the collector aims to stay
-	// under; the rest is for stacks of the C library and bytes in sockets.
+	// memoryLimitRatio is the fraction of the VM's memory that is set as the garbage
+	// collector's limit; the rest is for C library stacks and socket buffers.
 	memoryLimitRatio = 0.7
-	// gcPercent is the growth of the heap at which it is collected, in percent:
-	// memory is cheap here below memoryLimitRatio, processor time is not.
+	// gcPercent is the heap growth in percent that starts a collection. It is higher than
+	// Go's default: below memoryLimitRatio memory is cheaper than CPU time.
 	gcPercent = 200
-	// shutdownMargin is kept from the bound of a planned stop for closing.
+	// shutdownMargin is the part of a planned stop's bound that is reserved for closing.
 	shutdownMargin = 600 * time.Millisecond
 )
 
-// Deployment is what is particular to where the routers run.
+// Deployment holds what depends on the platform that the routers run on.
 type Deployment struct {
 	Source Source
 	Names  forward.Dialect
-	// Kept returns a reader of what engines keep, over the router's connections;
-	// nil where engines do not tell.
+	// PrefixCache returns a reader of the engines' prefix caches that uses the router's
+	// connections. It is nil where engines do not publish them.
 	PrefixCache func(*conn.Exchanges) PrefixCacheReader
 }
 
-// StartRouted opens every listener and begins to serve. On error nothing is left
-// open.
+// StartRouted opens all listeners and starts serving. On error it closes whatever it has
+// opened.
 func StartRouted(set Settings, dep Deployment, log zerolog.Logger) (*RoutedDaemon, error) {
 	src, names := dep.Source, dep.Names
 	setMemoryLimit(set.MemoryMB)
@@ -110,18 +110,19 @@
 }
 
 const (
-	// maxRequestsPerMB is how many requests at once a megabyte of the VM's memory bears:
-	// 60 KB each for bodies, buffers and stacks, in half of the memory.
+	// maxRequestsPerMB is the number of concurrent requests per megabyte of the VM's
+	// memory: 60 KB each for bodies, buffers and stacks, in half of the memory.
 	maxRequestsPerMB = 8
-	// answerMemoryDivisor is the part of the VM's memory that answers may take which are held
-	// until they are whole: half of what maxRequestsPerMB leaves.
+	// answerMemoryDivisor divides the VM's memory to give the bytes of buffered answers,
+	// which are held until they are complete: half of what maxRequestsPerMB leaves.
 	answerMemoryDivisor = 4
-	// defaultMaxRequests and defaultMaxAnswerBytes are the bounds where the memory is unknown.
+	// defaultMaxRequests and defaultMaxAnswerBytes apply where the VM's memory is unknown.
 	defaultMaxRequests    = 20_000
 	defaultMaxAnswerBytes = 64 << 20
 )
 
-// boundsOf is what a router takes on at once, by its memory in MB.
+// boundsOf returns the limits on concurrent requests and buffered answers for a VM with mb
+// megabytes of memory, 0 for unknown.
 func boundsOf(mb int) forward.Bounds {
 	if mb == 0 {
 		return forward.Bounds{Requests: defaultMaxRequests, Answers: defaultMaxAnswerBytes}
@@ -129,8 +130,8 @@
 	return forward.Bounds{Requests: maxRequestsPerMB * mb, Answers: int64(mb) << 20 / answerMemoryDivisor}
 }
 
-// behind reports whether this router is short of processor and datagrams of its peers lie
-// unread.
+// controlBehind reports whether this router is overloaded while datagrams from its peers
+// are waiting to be read.
 func (d *RoutedDaemon) controlBehind() bool { return d.ctrl.Excess() > 0 && d.route.Waiting() }
 
 func setMemoryLimit(mb int) {
@@ -156,7 +157,7 @@
 	}
 }
 
-// listen opens the operators' and the readiness listeners.
+// listen opens the listeners for operators, metrics and readiness.
 func (d *RoutedDaemon) listen(reg metrics.Registry) error {
 	var err error
 	if d.operatorServer, err = listenAndServe(d.set.Operator, "[router] operator_address", d.operatorRoutes(reg)); err != nil {
@@ -184,12 +185,12 @@
 		return nil, ErrSettings.Wrap(err, "%s = %q", key, addr)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, ErrorLog: discardLog()}
-	go func() { _ = s.Serve(l) }() // ends with the process
+	go func() { _ = s.Serve(l) }() // Serve returns when the server is closed
 	return s, nil
 }
 
-// discardLog drops net/http's own lines on single connections; they are counted
-// where they matter.
+// discardLog returns a logger that drops net/http's log lines on single connections.
+// Failures that matter are counted in metrics.
 func discardLog() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
 
 func (d *RoutedDaemon) serveReadiness(w http.ResponseWriter, _ *http.Request) {
@@ -200,14 +201,14 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// operatorRoutes serves health, readiness, status and metrics.
+// operatorRoutes returns the operators' handler: health, readiness, status and metrics.
 func (d *RoutedDaemon) operatorRoutes(reg metrics.Registry) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	r.HandleFunc("/readyz", d.serveReadiness)
 	r.HandleFunc("/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(d.ctrl.Status()) // the operator may be gone
+		_ = json.NewEncoder(w).Encode(d.ctrl.Status()) // a write fails only when the operator has disconnected
 	})
 	r.HandleFunc("/metrics", d.metrics(reg))
 	return r
@@ -220,7 +221,7 @@
 	}
 }
 
-// statusMetrics are the control state's totals for the metrics page.
+// statusMetrics returns the control state's counts as lines of the metrics page.
 func statusMetrics(s *Status) map[string]string {
 	if s == nil {
 		return nil
@@ -237,7 +238,7 @@
 	return lines
 }
 
-// cold counts the upstreams that are believed to be cold.
+// coldUpstreams returns the number of upstreams considered cold.
 func (s *Status) coldUpstreams() int {
 	n := 0
 	for _, u := range s.Upstreams {
@@ -259,9 +260,9 @@
 	}
 }
 
-// Shutdown is the planned stop: not ready for the balancer, requests that still
-// arrive served, every one in progress ended or cut by the bound, then gone. It
-// returns the number of requests cut.
+// Shutdown performs the planned stop: it becomes unready for the load balancer, keeps
+// serving requests that still arrive, waits until all requests have ended or the bound
+// cuts them, and closes. It returns the number of requests cut.
 func (d *RoutedDaemon) Shutdown(ctx context.Context) int {
 	began := time.Now()
 	d.mu.Lock()
@@ -286,8 +287,9 @@
 	return cut
 }
 
-// Reload takes settings that may change while the process runs: the seeds and the
-// rules of the retry budget at once, the times of a planned stop at the next one.
+// Reload applies settings that may change while the process runs: the seeds, the retry
+// budget and the cold-start rules take effect at once, the durations of a planned stop at
+// the next stop.
 func (d *RoutedDaemon) Reload(set Settings) {
 	d.mu.Lock()
 	d.set.Wait, d.set.Bound = set.Wait, set.Bound
@@ -295,10 +297,10 @@
 	d.ctrl.Step(dispatch.NewSettings{Seeds: set.Seeds, Retry: set.Retry, Cold: set.Cold})
 }
 
-// Open returns the requests that have no outcome yet.
+// Open returns the number of requests without an outcome.
 func (d *RoutedDaemon) Open(time.Duration) int { return d.ctrl.Open() }
 
-// close ends everything at once.
+// close closes all listeners and connections at once.
 func (d *RoutedDaemon) close() {
 	if d.callerServer != nil {
 		d.callerServer.close()
--- a/internal/process/schedlag.go
+++ b/internal/process/schedlag.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// schedLagMeter measures how long goroutines that could run wait for the processor. It
-// is this process's measure of being short of it: timers and the control
-// goroutine are served first, so their own lateness tells nothing.
+// schedLagMeter measures the scheduling lag: how long runnable goroutines wait for a CPU. It
+// indicates an overload. The delay of timers or of the control goroutine would not, since
+// they are scheduled first.
 type schedLagMeter struct {
 	mean     atomic.Int64 // nanoseconds
 	previous []uint64
 }
 
 const (
-	schedLagWeight = 0.3 // of one period in the average
+	schedLagWeight = 0.3 // weight of one period in the moving average
 	schedLagMetric = "/sched/latencies:seconds"
 )
 
-// read adds what the runtime has counted since the last time.
+// read adds what the runtime has counted since the last call.
 func (l *schedLagMeter) read() {
 	sample := []metrics.Sample{{Name: schedLagMetric}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindFloat64Histogram {
-		return // this runtime does not tell
+		return // this runtime does not provide the histogram
 	}
 	h := sample[0].Value.Float64Histogram()
 	l.update(h.Buckets, h.Counts)
 }
 
-// take adds one reading of the histogram.
+// update adds one reading of the runtime's histogram, which counts since the start of the
+// process.
 func (l *schedLagMeter) update(buckets []float64, counts []uint64) {
 	if len(l.previous) != len(counts) {
 		l.previous = append([]uint64(nil), counts...)
@@ -53,7 +54,8 @@
 	l.mean.Store(int64(mean + schedLagWeight*(now-mean)))
 }
 
-// middle of a bucket; the outermost ones are open.
+// bucketMidpoint returns the middle of a bucket. The outermost buckets are unbounded on one
+// side; for them it returns the other bound.
 func bucketMidpoint(lo, hi float64) float64 {
 	switch {
 	case math.IsInf(lo, -1):
@@ -64,5 +66,5 @@
 	return (lo + hi) / 2
 }
 
-// lag returns the average wait of late.
+// lag returns the moving average of the wait.
 func (l *schedLagMeter) lag() time.Duration { return time.Duration(l.mean.Load()) }
--- a/internal/process/sentmetrics.go
+++ b/internal/process/sentmetrics.go
@@ -7,23 +7,23 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// What this router sends to others, counted by what a datagram is for and by whether it
-// leaves the place, so that on any fleet it can be seen what its control costs.
+// The datagrams that this router sends to others are counted by their purpose and by whether
+// they leave the place, so that the cost of a fleet's control traffic can be measured.
 
-// purpose is what a datagram is for: the first of these that it holds.
+// purpose is the purpose of a datagram: the first of these constants that applies.
 type purpose int
 
 const (
-	purposeChanges    purpose = iota // of the store's content
-	purposeReplies                   // of a scheduler
-	purposeRequests                  // to a scheduler
-	purposeProgress                  // of the ends of requests
-	purposeHeartbeat                 // regular messages
-	purposeMembership                // membership and requests that crash upstreams
+	purposeChanges    purpose = iota // changes of the store's content
+	purposeReplies                   // placement replies of a scheduler
+	purposeRequests                  // placement requests to a scheduler
+	purposeProgress                  // notifications of progress to a scheduler
+	purposeHeartbeat                 // heartbeats
+	purposeMembership                // membership, and the quarantine of requests that crash upstreams
 	purposeCount
 )
 
-// names of the purposes in metrics.
+// purposeNames are the names of the purposes in metrics and logs.
 var purposeNames = [purposeCount]string{"changes", "answers", "asks", "notes", "regular", "membership"}
 
 func purposeOf(d *wire.Datagram) purpose {
@@ -43,10 +43,10 @@
 	return purposeHeartbeat
 }
 
-// sentMetrics are the totals since the start.
+// sentMetrics counts sent datagrams since the start of the process.
 type sentMetrics struct {
 	bytes, datagrams [purposeCount]metrics.Counter
-	otherPlaces      metrics.Counter // bytes to routers of other places
+	otherPlaces      metrics.Counter // bytes to routers in other places
 }
 
 func newSentMetrics(reg metrics.Registry) sentMetrics {
@@ -59,21 +59,21 @@
 	return c
 }
 
-// log writes the totals.
-func (c *sentMetrics) log(log zerolog.Logger) {
+// log logs the totals.
+func (m *sentMetrics) log(log zerolog.Logger) {
 	e := log.Info()
 	for p, name := range purposeNames {
-		e.Int64(name+"_bytes", c.bytes[p].Count()).Int64(name, c.datagrams[p].Count())
+		e.Int64(name+"_bytes", m.bytes[p].Count()).Int64(name, m.datagrams[p].Count())
 	}
-	e.Int64("other_places_bytes", c.otherPlaces.Count()).Msg("control-sent")
+	e.Int64("other_places_bytes", m.otherPlaces.Count()).Msg("control-sent")
 }
 
-// count takes a datagram that was sent.
-func (c *sentMetrics) count(d *wire.Datagram, bytes int, near bool) {
+// count counts a datagram of the given size. near means that its receiver is in this place.
+func (m *sentMetrics) count(d *wire.Datagram, bytes int, near bool) {
 	p := purposeOf(d)
-	c.bytes[p].Inc(int64(bytes))
-	c.datagrams[p].Inc(1)
+	m.bytes[p].Inc(int64(bytes))
+	m.datagrams[p].Inc(1)
 	if !near {
-		c.otherPlaces.Inc(int64(bytes))
+		m.otherPlaces.Inc(int64(bytes))
 	}
 }
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -1,5 +1,5 @@
-// Package process holds what lives as long as the process: its settings, the
-// control goroutine, the listeners, and starting and stopping in order.
+// Package process implements the router process: its settings, the control goroutine, the
+// listeners, and an orderly start and stop.
 package process
 
 import (
@@ -20,10 +20,11 @@
 	"github.com/silverswitch/silverswitch/internal/request"
 )
 
-// ErrSettings is a settings file that cannot be used.
+// ErrSettings is the type of errors in the settings.
 var ErrSettings = errorx.NewNamespace("process").NewType("settings")
 
-// Settings are fixed for the process's life. Each field names its key.
+// Settings are the settings of the process. The comment at each field names its key in the
+// settings file. Only the fields in reloadable may change while the process runs.
 type Settings struct {
 	Peer     string        // [router] peer_address: UDP and TCP, also the router's identity
 	Place    string        // [router] place
@@ -32,15 +33,15 @@
 	Operator string        // [router] operator_address
 	Seeds    []wire.NodeID // [fleet] seeds
 	Secret   string        // [fleet] secret
-	First    bool          // [fleet] first_start: the whole fleet starts for the first time
+	First    bool          // [fleet] first_start: true at the first start of the whole fleet
 	Platform string        // [platform] url
 	Kind     string        // [platform] kind: values or store
-	Metrics  string        // [metrics] address, "" for none beside the operators'
-	Ready    string        // [ready] address, "" for none
+	Metrics  string        // [metrics] address of an additional metrics listener, "" for none
+	Ready    string        // [ready] address of an additional readiness listener, "" for none
 	ReadyAt  string        // [ready] path
 	Retry    dispatch.RetryRules
 	Cold     dispatch.ColdRules
-	Regions  map[string]string // [regions]: the region of each place
+	Regions  map[string]string // [regions]: region by place
 	MemoryMB int               // [machine] memory_mb, 0 when unknown
 	Cores    float64           // [machine] cores, 0 when unknown
 	Files    int               // [machine] descriptors, 0 when unknown
@@ -59,15 +60,15 @@
 	IdleTime time.Duration // [limits] idle_time
 }
 
-// Bounds of the settings.
+// Bounds of numeric settings.
 const (
 	minByteLimit = 1 << 10
 	maxByteLimit = 256 << 20
 	maxDuration  = time.Hour
 )
 
-// Defaults is a settings file with every key; those that have no default are to
-// be filled in.
+// Defaults is a settings file with every key. Keys without a default have an example value
+// that must be replaced.
 const Defaults = `; silverswitchd settings. Addresses are IP numbers with a port.
 [router]
 ; UDP and TCP towards other routers; also this router's name in the fleet.
@@ -164,7 +165,7 @@
 bound = 0s
 `
 
-// LoadSettings reads and checks a settings file.
+// LoadSettings reads and validates a settings file.
 func LoadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -173,7 +174,7 @@
 	return ParseSettings(path, string(raw))
 }
 
-// ParseSettings checks the text of a settings file; all faults are returned.
+// ParseSettings parses and validates the text of a settings file. It returns all faults.
 func ParseSettings(file, text string) (Settings, error) {
 	var faults inifile.Faults
 	r := settingsReader{sections: map[string]*inifile.Section{}, file: file, faults: &faults}
@@ -185,7 +186,7 @@
 	return s, faults.OrNil()
 }
 
-// reader reads the sections of a settings file.
+// settingsReader reads the sections of a settings file.
 type settingsReader struct {
 	file      string
 	sections  map[string]*inifile.Section
@@ -275,13 +276,13 @@
 	r.readRouted(s)
 }
 
-// The kinds of platform.
+// Kinds of platforms.
 const (
 	KindValues = "values" // publishes versions of templates and parameters
 	KindStore  = "store"  // publishes routes, services and upstreams
 )
 
-// readRouted reads what only the routed interface uses.
+// readRouted reads the sections that only the routed interface uses.
 func (r *settingsReader) readRouted(s *Settings) {
 	ready := r.section("ready")
 	if ready.TextOr("address", "") != "" {
--- a/internal/process/shedtotals.go
+++ b/internal/process/shedtotals.go
@@ -6,9 +6,8 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// shedTotals sums what the door refused, by service and organisation, so that a
-// flood of refusals costs the control goroutine nothing. It may be used by any
-// goroutine.
+// shedTotals sums the work refused by load shedding per service and organisation, so that a
+// flood of refusals does not load the control goroutine. It may be used by any goroutine.
 type shedTotals struct {
 	mu   sync.Mutex
 	sums map[shedKey]float64
@@ -25,7 +24,7 @@
 	t.sums[shedKey{w.Service, w.Org}] += w.Tokens
 }
 
-// take returns the sums since the last time.
+// take returns the sums since the last call and resets them.
 func (t *shedTotals) take() []dispatch.TurnedWork {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/process/snapshot.go
+++ b/internal/process/snapshot.go
@@ -9,38 +9,39 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// What a scheduler knows passes to routers that may take over by JSON-RPC between peers:
-// for hundreds of organisations and engines it is too large for a datagram.
+// A scheduler's state is transferred to its standbys by JSON-RPC between peers, because for
+// hundreds of organisations and engines it is too large for a datagram.
 
-// snapshotTimeout is how long a peer's question for the state waits for the control goroutine.
+// snapshotTimeout bounds the wait of a peer's snapshot request for the control goroutine.
 const snapshotTimeout = time.Second
 
-// PackedSnapshot returns the state of the services of which this router is an heir, or nil.
-func (s *RoutedController) PackedSnapshot(q conn.Question) []byte {
-	state, answered := query(&s.controlLoop, snapshotTimeout, func(now time.Time) *wire.Snapshot { return s.node.Snapshot(wire.NodeID(q.Asker), now) })
+// PackedSnapshot returns the encoded state of the services for which this router is the
+// scheduler or a standby, or nil.
+func (rc *RoutedController) PackedSnapshot(q conn.Question) []byte {
+	state, answered := query(&rc.controlLoop, snapshotTimeout, func(now time.Time) *wire.Snapshot { return rc.node.Snapshot(wire.NodeID(q.Asker), now) })
 	if !answered {
 		return nil
 	}
 	raw, err := wire.EncodeSnapshot(state)
 	if err != nil {
-		s.log.Error().Err(err).Msg("snapshot-not-encoded")
+		rc.log.Error().Err(err).Msg("snapshot-not-encoded")
 		return nil
 	}
-	s.log.Info().Str("peer", q.Asker).Int("services", len(state.Services)).Int("bytes", len(raw)).Msg("snapshot-told")
+	rc.log.Info().Str("peer", q.Asker).Int("services", len(state.Services)).Int("bytes", len(raw)).Msg("snapshot-told")
 	return raw
 }
 
-// fetchSnapshot reads a scheduler's state from an heir.
-func (s *RoutedController) fetchSnapshot(o dispatch.FetchSnapshot) {
-	raw, err := conn.Fetch(context.Background(), conn.Question{Method: conn.MethodSnapshot, Asker: string(s.id)}, string(o.From), s.sealer)
+// fetchSnapshot fetches a service's scheduler state from a member of its scheduler group.
+func (rc *RoutedController) fetchSnapshot(o dispatch.FetchSnapshot) {
+	raw, err := conn.Fetch(context.Background(), conn.Question{Method: conn.MethodSnapshot, Asker: string(rc.id)}, string(o.From), rc.sealer)
 	if err != nil {
-		s.log.Info().Err(err).Str("peer", string(o.From)).Str("service", o.Service).Msg("snapshot-fetch-failed")
+		rc.log.Info().Err(err).Str("peer", string(o.From)).Str("service", o.Service).Msg("snapshot-fetch-failed")
 		return
 	}
 	state, err := wire.DecodeSnapshot(raw)
 	if err != nil {
-		s.log.Warn().Err(err).Str("peer", string(o.From)).Str("service", o.Service).Msg("snapshot-unreadable")
+		rc.log.Warn().Err(err).Str("peer", string(o.From)).Str("service", o.Service).Msg("snapshot-unreadable")
 		return
 	}
-	s.Step(dispatch.Inherit{From: o.From, Snapshot: state})
+	rc.Step(dispatch.Inherit{From: o.From, Snapshot: state})
 }
--- a/internal/process/source.go
+++ b/internal/process/source.go
@@ -9,43 +9,43 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// ErrHistoryGone is a revision too old to watch from: the content is to be listed
-// again.
+// ErrHistoryGone is the error of Watch for a revision whose later history the source has
+// dropped. The content must be listed again.
 var ErrHistoryGone = errorx.NewNamespace("source").NewType("history")
 
-// Source reads the routing table and the list of instances where the platform
-// publishes them.
+// Source reads the routing table and the list of instances from the platform's store.
 type Source interface {
-	// List returns the whole content.
+	// List returns the full content.
 	List(ctx context.Context) (Listing, error)
-	// Watch returns the changes after a revision, or none after the wait.
+	// Watch returns the changes after a revision. It waits for at most wait, and then
+	// returns no changes.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Listing, error)
-	// Table decodes a table that another router passed on.
+	// Table decodes a table in its published form, as received from another router.
 	Table(raw []byte) (*routing.Table, error)
 }
 
-// Listing is content, or changes, as of a revision (routing.RevisionIn).
+// Listing is the full content, or changes, as of a revision (routing.RevisionIn).
 type Listing struct {
 	AsOf    uint64
 	Changes []Change
 }
 
-// PlaceChange says whether a place is evacuated.
+// PlaceChange states whether a place is evacuated.
 type PlaceChange struct {
 	Place     string
 	Evacuated bool
 }
 
-// Change is one change of the content: a table, an instance, its end, a place, or one
-// that cannot be read.
+// Change is one change of the content: a table, an instance, the removal of an instance, a
+// place, or an entry that cannot be used.
 type Change struct {
 	Revision uint64
 	Table    *routing.Table
 	TableRaw []byte
 	Put      *routing.Instance
-	ColdFor  time.Duration // of Put: how much longer it is cold, as of its writing
+	ColdFor  time.Duration // remaining cold period of Put when the entry was written
 	Place    *PlaceChange
-	Removed  string // an instance's ID
-	Rejected string // the same, where Err says why its entry cannot be used
+	Removed  string // ID of the removed instance
+	Rejected string // ID of the instance whose entry cannot be used, for the reason in Err
 	Err      error
 }
--- a/internal/process/sourcewatcher.go
+++ b/internal/process/sourcewatcher.go
@@ -13,35 +13,39 @@
 
 // Timing of reading the source.
 const (
-	// sourceWatchTimeout is how long one watch waits. It bounds how long a watch that was
-	// cut without a word goes unnoticed, and how old the fleet's knowledge of the
-	// store gets; longer ones save calls. internal/dispatch's sightEvery rests on it.
+	// sourceWatchTimeout is how long one watch waits for changes. It bounds how long a
+	// silently broken watch goes unnoticed and how old the fleet's store reading becomes;
+	// a longer timeout would save calls. sightEvery of internal/dispatch depends on it.
 	sourceWatchTimeout = time.Second
-	// gather is the pause after each answer, so that changes in quick succession
-	// cost one call. It is small beside the 2 s within which routers must follow.
+	// sourceBatchDelay is the pause after each answer, so that changes in quick succession
+	// cost one call. It is small compared with the 2 s within which routers must apply a
+	// change.
 	sourceBatchDelay = 150 * time.Millisecond
-	// minSourceRetryPause and maxSourceRetryPause are the pauses after failures. The longest is
-	// well within the time in which a router must follow a store that is back.
+	// minSourceRetryPause and maxSourceRetryPause bound the pause after a failure. The
+	// maximum is well below the time within which a router must follow a store that is
+	// reachable again.
 	minSourceRetryPause = 100 * time.Millisecond
 	maxSourceRetryPause = 400 * time.Millisecond
-	// sourceRetryPausePerRouter is a router's part in the pause of those that look only because
-	// nobody could read the source lately: 40 tries a second in any fleet.
+	// sourceRetryPausePerRouter is multiplied by the number of routers to give the maximum
+	// pause of routers that read the source only because no watcher could lately: all of
+	// them together make 40 attempts a second in a fleet of any size.
 	sourceRetryPausePerRouter = 25 * time.Millisecond
-	// watchRoleCheckInterval is how often a router that does not watch looks whether it should.
+	// watchRoleCheckInterval is how often a router that does not watch checks whether it should.
 	watchRoleCheckInterval = 100 * time.Millisecond
-	// outage is how long the source must have failed for its return to be one.
+	// minSourceOutage is how long the source must have failed for entries to have lapsed
+	// meanwhile.
 	minSourceOutage = 600 * time.Millisecond
 )
 
-// follower keeps the steerer's view up to date with a source. It is one
-// goroutine.
+// sourceWatcher keeps the controller's view up to date with a source. It is used by one
+// goroutine only.
 type sourceWatcher struct {
 	source       Source
 	ctrl         *RoutedController
 	log          zerolog.Logger
 	calls        metrics.Counter
 	failures     metrics.Counter
-	failingSince time.Time // since when the source fails, or zero
+	failingSince time.Time // zero while the source answers
 }
 
 func newSourceWatcher(source Source, ctrl *RoutedController, log zerolog.Logger, reg metrics.Registry) *sourceWatcher {
@@ -52,25 +56,25 @@
 	}
 }
 
-// run lists and watches until the context ends.
-func (f *sourceWatcher) run(ctx context.Context) {
+// run lists and watches the source until the context ends.
+func (w *sourceWatcher) run(ctx context.Context) {
 	after, relist := uint64(0), false
 	pause := minSourceRetryPause
 	for ctx.Err() == nil {
-		if !f.ctrl.Watches() {
-			f.failingSince = time.Time{}
+		if !w.ctrl.Watches() {
+			w.failingSince = time.Time{}
 			sleep(ctx, watchRoleCheckInterval)
 			continue
 		}
 		if !relist {
-			after = max(after, f.ctrl.AsOf()) // peers may have told more meanwhile
+			after = max(after, w.ctrl.AsOf()) // peers may have announced later changes meanwhile
 		}
 		var err error
 		if after == 0 {
-			after, err = f.list(ctx)
+			after, err = w.list(ctx)
 			relist = relist && err != nil
 		} else {
-			after, err = f.watch(ctx, after)
+			after, err = w.watch(ctx, after)
 			relist = after == 0
 		}
 		if err == nil {
@@ -78,58 +82,59 @@
 			sleep(ctx, sourceBatchDelay)
 			continue
 		}
-		f.sourceFailed(ctx, err)
+		w.sourceFailed(ctx, err)
 		sleep(ctx, pause)
-		pause = min(2*pause, max(maxSourceRetryPause, f.ctrl.MaxRetryPause()))
+		pause = min(2*pause, max(maxSourceRetryPause, w.ctrl.MaxRetryPause()))
 	}
 }
 
-func (f *sourceWatcher) list(ctx context.Context) (uint64, error) {
-	f.calls.Inc(1)
-	l, err := f.source.List(ctx)
+func (w *sourceWatcher) list(ctx context.Context) (uint64, error) {
+	w.calls.Inc(1)
+	l, err := w.source.List(ctx)
 	if err != nil {
 		return 0, err
 	}
-	f.ctrl.ApplyListing(l, true, f.sourceAnswered(l.AsOf))
+	w.ctrl.ApplyListing(l, true, w.sourceAnswered(l.AsOf))
 	return l.AsOf, nil
 }
 
-// watch returns the revision to go on from: 0 when the history is gone.
-func (f *sourceWatcher) watch(ctx context.Context, after uint64) (uint64, error) {
-	f.calls.Inc(1)
-	l, err := f.source.Watch(ctx, after, sourceWatchTimeout)
+// watch returns the revision to continue from, 0 when the source no longer has the history
+// after it.
+func (w *sourceWatcher) watch(ctx context.Context, after uint64) (uint64, error) {
+	w.calls.Inc(1)
+	l, err := w.source.Watch(ctx, after, sourceWatchTimeout)
 	if errorx.IsOfType(err, ErrHistoryGone) {
-		f.log.Info().Uint64("revision", after).Msg("source-history-gone")
+		w.log.Info().Uint64("revision", after).Msg("source-history-gone")
 		return 0, nil
 	}
 	if err != nil {
 		return after, err
 	}
-	f.ctrl.ApplyListing(l, false, f.sourceAnswered(l.AsOf))
+	w.ctrl.ApplyListing(l, false, w.sourceAnswered(l.AsOf))
 	return max(after, l.AsOf), nil
 }
 
-// failed counts a failure, and logs the first of a row.
-func (f *sourceWatcher) sourceFailed(ctx context.Context, err error) {
+// sourceFailed counts a failure, and logs the first of a series.
+func (w *sourceWatcher) sourceFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	f.failures.Inc(1)
-	f.ctrl.SourceFailed()
-	if f.failingSince.IsZero() {
-		f.failingSince = clock.System.Now()
-		f.log.Warn().Err(err).Msg("source-lost")
+	w.failures.Inc(1)
+	w.ctrl.SourceFailed()
+	if w.failingSince.IsZero() {
+		w.failingSince = clock.System.Now()
+		w.log.Warn().Err(err).Msg("source-lost")
 	}
 }
 
-// worked notes the end of an outage. It reports whether it was long enough for
-// entries to have lapsed in it.
-func (f *sourceWatcher) sourceAnswered(asOf uint64) (back bool) {
-	if f.failingSince.IsZero() {
+// sourceAnswered ends an outage, if there was one, and reports whether it was long enough
+// for entries to have lapsed meanwhile.
+func (w *sourceWatcher) sourceAnswered(asOf uint64) (back bool) {
+	if w.failingSince.IsZero() {
 		return false
 	}
-	away := clock.System.Since(f.failingSince)
-	f.failingSince = time.Time{}
-	f.log.Info().Int64("away_ms", away.Milliseconds()).Uint64("revision", asOf).Msg("source-regained")
+	away := clock.System.Since(w.failingSince)
+	w.failingSince = time.Time{}
+	w.log.Info().Int64("away_ms", away.Milliseconds()).Uint64("revision", asOf).Msg("source-regained")
 	return away >= minSourceOutage
 }
--- a/internal/process/storecontent.go
+++ b/internal/process/storecontent.go
@@ -8,7 +8,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// entryOf is an instance as peers are told of it.
+// entryOf returns the wire entry of an instance.
 func entryOf(i routing.Instance, now time.Time) wire.InstanceEntry {
 	return wire.InstanceEntry{
 		ID:       i.ID,
@@ -23,7 +23,7 @@
 	}
 }
 
-// instanceOf is an instance as a peer tells of it.
+// instanceOf returns the instance of a wire entry from a peer.
 func instanceOf(e wire.InstanceEntry, now time.Time) routing.Instance {
 	return routing.Instance{
 		ID:        e.ID,
@@ -38,7 +38,7 @@
 	}
 }
 
-// coldUntil is the end of a cold time, zero for none.
+// coldUntil returns the time at which a cold period of length d ends, zero for none.
 func coldUntil(d time.Duration, now time.Time) time.Time {
 	if d <= 0 {
 		return time.Time{}
@@ -46,90 +46,91 @@
 	return now.Add(d)
 }
 
-// ApplyListing takes content, or changes, from the source. whole says that what
-// is not listed is gone; back that the source had been away, so that entries may
-// have lapsed.
-func (s *RoutedController) ApplyListing(l Listing, whole, back bool) {
-	s.enqueue(func(now time.Time) {
-		s.applyListing(l, whole, back, now)
+// ApplyListing applies content or changes read from the source. whole means that the
+// listing is complete, so that instances missing from it are gone. back means that the
+// source had been unavailable, so that entries may have lapsed meanwhile.
+func (rc *RoutedController) ApplyListing(l Listing, whole, back bool) {
+	rc.enqueue(func(now time.Time) {
+		rc.applyListing(l, whole, back, now)
 	})
 }
 
-func (s *RoutedController) applyListing(l Listing, whole, back bool, now time.Time) {
-	before, revision, asOf := s.tableVersion(), s.view.Revision, s.view.AsOf
-	s.logOlderListing(l, whole)
+func (rc *RoutedController) applyListing(l Listing, whole, back bool, now time.Time) {
+	before, revision, asOf := rc.tableVersion(), rc.view.Revision, rc.view.AsOf
+	rc.logOlderListing(l, whole)
 	var list []routing.Instance
 	var evacuated []routing.Evacuation
 	if whole {
 		list, evacuated = splitListing(l, now)
-		back = s.enterEra(l.AsOf, list, now) || back
+		back = rc.enterEra(l.AsOf, list, now) || back
 	}
 	if back {
-		s.view.StoreReturned(now)
+		rc.view.StoreReturned(now)
 	}
 	for _, c := range l.Changes {
-		s.applyChange(c, now)
+		rc.applyChange(c, now)
 	}
 	if whole {
-		s.view.ReplaceEvacuations(evacuated, l.AsOf, now)
-		s.view.Replace(list, l.AsOf, now)
+		rc.view.ReplaceEvacuations(evacuated, l.AsOf, now)
+		rc.view.Replace(list, l.AsOf, now)
 	}
-	s.view.Complete(l.AsOf)
-	s.asOf.Store(s.view.AsOf)
-	if s.view.Revision != revision || whole {
-		s.publish(now)
+	rc.view.Complete(l.AsOf)
+	rc.asOf.Store(rc.view.AsOf)
+	if rc.view.Revision != revision || whole {
+		rc.publish(now)
 	} else {
-		s.node.Step(dispatch.Seen{AsOf: s.view.AsOf}, now)
+		rc.node.Step(dispatch.Seen{AsOf: rc.view.AsOf}, now)
 	}
-	s.node.Step(dispatch.Sighted{Delta: announcedDelta(deltaOf(l, whole, asOf)), Whole: whole, Back: back}, now)
-	if after := s.tableVersion(); after != before {
-		s.log.Info().Uint64("version", after).Uint64("before", before).Uint64("revision", s.view.TableRev).Msg("table-accepted")
+	rc.node.Step(dispatch.Sighted{Delta: announcedDelta(deltaOf(l, whole, asOf)), Whole: whole, Back: back}, now)
+	if after := rc.tableVersion(); after != before {
+		rc.log.Info().Uint64("version", after).Uint64("before", before).Uint64("revision", rc.view.TableRev).Msg("table-accepted")
 	}
 }
 
-// logOlderListing writes a line for content that is as of a lower revision than is known.
-func (s *RoutedController) logOlderListing(l Listing, whole bool) {
-	if l.AsOf < s.view.AsOf {
-		s.log.Warn().Uint64("as_of", l.AsOf).Uint64("known", s.view.AsOf).Bool("whole", whole).Msg("source-older-than-known")
+// logOlderListing logs a listing whose revision is lower than the revision already known.
+func (rc *RoutedController) logOlderListing(l Listing, whole bool) {
+	if l.AsOf < rc.view.AsOf {
+		rc.log.Warn().Uint64("as_of", l.AsOf).Uint64("known", rc.view.AsOf).Bool("whole", whole).Msg("source-older-than-known")
 	}
 }
 
-// enterEra prepares the view for content of a later era than what it holds. It reports
-// whether it is.
-func (s *RoutedController) enterEra(asOf uint64, list []routing.Instance, now time.Time) bool {
-	if s.view.AsOf == 0 || routing.EraOf(asOf) <= routing.EraOf(s.view.AsOf) {
+// enterEra prepares the view for content of a later era of the store, and reports whether
+// asOf belongs to a later era than the view's content.
+func (rc *RoutedController) enterEra(asOf uint64, list []routing.Instance, now time.Time) bool {
+	if rc.view.AsOf == 0 || routing.EraOf(asOf) <= routing.EraOf(rc.view.AsOf) {
 		return false
 	}
-	s.log.Warn().Uint64("as_of", asOf).Uint64("known", s.view.AsOf).Uint64("era", routing.EraOf(asOf)).Msg("source-restored")
-	s.view.Restored(list, now)
+	rc.log.Warn().Uint64("as_of", asOf).Uint64("known", rc.view.AsOf).Uint64("era", routing.EraOf(asOf)).Msg("source-restored")
+	rc.view.Restored(list, now)
 	return true
 }
 
-// applyChange takes one change of the store's content.
-func (s *RoutedController) applyChange(c Change, now time.Time) {
+// applyChange applies one change of the store's content to the view.
+func (rc *RoutedController) applyChange(c Change, now time.Time) {
 	switch {
 	case c.Err != nil:
-		s.log.Error().Err(c.Err).Uint64("revision", c.Revision).Msg("published-value-unreadable")
-		s.view.Reject(c.Rejected, c.Revision)
+		rc.log.Error().Err(c.Err).Uint64("revision", c.Revision).Msg("published-value-unreadable")
+		rc.view.Reject(c.Rejected, c.Revision)
 	case c.Table != nil:
-		s.view.SetTable(c.Table, c.TableRaw, c.Revision)
+		rc.view.SetTable(c.Table, c.TableRaw, c.Revision)
 	case c.Removed != "":
-		s.view.Remove(c.Removed, c.Revision, now)
+		rc.view.Remove(c.Removed, c.Revision, now)
 	case c.Put != nil:
-		s.view.Put(c.instance(now), c.Revision)
+		rc.view.Put(c.instance(now), c.Revision)
 	case c.Place != nil:
-		s.view.Evacuate(c.Place.Place, c.Place.Evacuated, c.Revision, now)
+		rc.view.Evacuate(c.Place.Place, c.Place.Evacuated, c.Revision, now)
 	}
 }
 
-// instance is the entry that a change puts, with its cold time by this router's clock.
+// instance returns the instance that the change puts, with the end of its cold period by
+// this router's clock.
 func (c *Change) instance(now time.Time) routing.Instance {
 	i := *c.Put
 	i.ColdUntil = coldUntil(c.ColdFor, now)
 	return i
 }
 
-// listed returns the instances and evacuations of a whole listing.
+// splitListing returns the instances and evacuated places of a complete listing.
 func splitListing(l Listing, now time.Time) (list []routing.Instance, evacuated []routing.Evacuation) {
 	for _, c := range l.Changes {
 		switch {
@@ -143,8 +144,8 @@
 	return list, evacuated
 }
 
-// deltaOf is what a listing changed, for peers; nil when it changed nothing, or
-// when it was read whole.
+// deltaOf returns the changes of a listing to announce to peers. It returns nil when the
+// listing changes nothing or was read whole.
 func deltaOf(l Listing, whole bool, from uint64) *wire.StoreDelta {
 	if whole || len(l.Changes) == 0 || l.AsOf <= from {
 		return nil
@@ -167,61 +168,62 @@
 	return d
 }
 
-// apply takes changes that a peer has read from the store.
-func (s *RoutedController) applyPeerDelta(o dispatch.Apply) {
-	if o.Delta.From > s.view.AsOf || o.Delta.To <= s.view.AsOf {
-		return // another source was faster
+// applyPeerDelta applies changes that a peer has read from the store and announced.
+func (rc *RoutedController) applyPeerDelta(o dispatch.Apply) {
+	if o.Delta.From > rc.view.AsOf || o.Delta.To <= rc.view.AsOf {
+		return // earlier changes are missing, or these are already known
 	}
-	now := s.now()
+	now := rc.now()
 	for _, e := range o.Delta.Places {
-		s.view.Evacuate(e.Place, e.Evacuated, e.Revision, now)
+		rc.view.Evacuate(e.Place, e.Evacuated, e.Revision, now)
 	}
 	var list []routing.Instance
 	for _, e := range o.Delta.Put {
 		list = append(list, instanceOf(e, now))
 	}
-	s.applyPeerChanges(list, o.Delta.Removed, o.Delta.To, now)
-	s.asOf.Store(s.view.AsOf)
-	s.publish(now)
+	rc.applyPeerChanges(list, o.Delta.Removed, o.Delta.To, now)
+	rc.asOf.Store(rc.view.AsOf)
+	rc.publish(now)
 }
 
-// publish hands what has changed in the view to the node and to requests.
-func (s *RoutedController) publish(now time.Time) {
-	changes, evacuated := s.view.TakeChanges(), s.view.Evacuations()
-	c := dispatch.Catalogue{Table: s.view.Table, Evacuated: evacuated, Revision: s.view.Revision, AsOf: s.view.AsOf}
-	tableChanged := s.view.Table != s.publishedTable
-	if tableChanged && s.OnTable != nil {
-		s.OnTable(s.view.Table.Limits)
-	}
-	if tableChanged && !s.view.Table.SameServices(s.publishedTable) {
-		list := s.view.Instances()
+// publish passes the view's changes on to the node, and publishes the table and the
+// availability of instances for request handlers.
+func (rc *RoutedController) publish(now time.Time) {
+	changes, evacuated := rc.view.TakeChanges(), rc.view.Evacuations()
+	c := dispatch.Catalogue{Table: rc.view.Table, Evacuated: evacuated, Revision: rc.view.Revision, AsOf: rc.view.AsOf}
+	tableChanged := rc.view.Table != rc.publishedTable
+	if tableChanged && rc.OnTable != nil {
+		rc.OnTable(rc.view.Table.Limits)
+	}
+	if tableChanged && !rc.view.Table.SameServices(rc.publishedTable) {
+		list := rc.view.Instances()
 		c.Instances = list
-		s.publishAvailability(list, evacuated)
-		clear(s.loggedUnknownService)
-		s.logUnknownServices(list)
+		rc.publishAvailability(list, evacuated)
+		clear(rc.loggedUnknownService)
+		rc.logUnknownServices(list)
 	} else {
 		c.Part, c.Instances, c.Ended = true, changes.Put, changes.Ended
-		s.updateAvailability(changes, evacuated)
-		s.logUnknownServices(changes.Put)
-	}
-	s.publishedTable = s.view.Table
-	s.publications.Add(1)
-	s.node.Step(c, now)
-	s.table.Store(s.view.Table)
-	s.updateReady(now)
+		rc.updateAvailability(changes, evacuated)
+		rc.logUnknownServices(changes.Put)
+	}
+	rc.publishedTable = rc.view.Table
+	rc.publications.Add(1)
+	rc.node.Step(c, now)
+	rc.table.Store(rc.view.Table)
+	rc.updateReady(now)
 }
 
-// logUnknownServices writes a line for each entry whose service no table names: nothing is sent
-// there.
-func (s *RoutedController) logUnknownServices(list []routing.Instance) {
-	if s.view.Table == nil {
+// logUnknownServices logs each instance whose service is not in the table. No requests are
+// sent to such an instance.
+func (rc *RoutedController) logUnknownServices(list []routing.Instance) {
+	if rc.view.Table == nil {
 		return
 	}
 	for _, i := range list {
-		if s.view.Table.Services[i.Service] != nil || s.loggedUnknownService[i.Start()] {
+		if rc.view.Table.Services[i.Service] != nil || rc.loggedUnknownService[i.Start()] {
 			continue
 		}
-		s.loggedUnknownService[i.Start()] = true
-		s.log.Warn().Str("upstream", i.ID).Str("service", i.Service).Uint64("version", s.tableVersion()).Msg("service-not-in-table")
+		rc.loggedUnknownService[i.Start()] = true
+		rc.log.Warn().Str("upstream", i.ID).Str("service", i.Service).Uint64("version", rc.tableVersion()).Msg("service-not-in-table")
 	}
 }
--- a/internal/process/tracing.go
+++ b/internal/process/tracing.go
@@ -15,8 +15,8 @@
 	"go.opentelemetry.io/otel/sdk/trace"
 )
 
-// startTracing sets the tracer that the settings ask for. The returned function
-// sends what is left.
+// startTracing installs the tracer provider of the settings. The returned function exports
+// the remaining spans and shuts the provider down.
 func startTracing(ctx context.Context, s Settings) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	var exp trace.SpanExporter
@@ -42,10 +42,10 @@
 	return p.Shutdown, nil
 }
 
-// traceFlushTimeout is how long the last spans may take to be sent at the end.
+// traceFlushTimeout bounds the export of the last spans at the end of the process.
 const traceFlushTimeout = time.Second
 
-// flushTraces sends what is left at the end of the process.
+// flushTraces exports the remaining spans at the end of the process.
 func flushTraces(flush func(context.Context) error, log zerolog.Logger) {
 	ctx, stop := context.WithTimeout(context.Background(), traceFlushTimeout)
 	defer stop()
