--- a/internal/process/admission.go
+++ b/internal/process/admission.go
@@ -20,21 +20,21 @@
 		rc.admitRatios.Store(nil)
 		return
 	}
-	parts := map[serviceOrg]float64{}
+	ratios := map[serviceOrg]float64{}
 	for _, c := range rc.node.Covered(now) {
-		parts[serviceOrg{c.Service, c.Org}] = c.Part
+		ratios[serviceOrg{c.Service, c.Org}] = c.Part
 	}
-	rc.admitRatios.Store(&parts)
+	rc.admitRatios.Store(&ratios)
 }
 
 // Covered implements forward.Control. Without a published ratio all requests are admitted.
 func (rc *RoutedController) Covered(service, org string) float64 {
-	parts := rc.admitRatios.Load()
-	if parts == nil {
+	ratios := rc.admitRatios.Load()
+	if ratios == nil {
 		return 1
 	}
-	if part, known := (*parts)[serviceOrg{service, org}]; known {
-		return part
+	if ratio, known := (*ratios)[serviceOrg{service, org}]; known {
+		return ratio
 	}
 	return 1
 }
--- a/internal/process/appcontroller.go
+++ b/internal/process/appcontroller.go
@@ -17,7 +17,9 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-const progressTicks = 4 // number of ticks between progress reports of running requests
+// progressTicks is the number of ticks between progress reports of running requests, and
+// between publications of the control state.
+const progressTicks = 4
 
 // AppController runs the control state of the application interface, a core.Node. A single
 // control goroutine accesses it; all other goroutines use the methods of AppController,
@@ -50,7 +52,7 @@
 // NewAppController returns a controller that is not running yet.
 func NewAppController(set core.Settings, route *conn.Route, sealer *conn.Sealer, log zerolog.Logger) *AppController {
 	now := clock.System.Now()
-	d := &AppController{
+	c := &AppController{
 		id:      set.ID,
 		node:    core.New(set, now),
 		place:   set.Place,
@@ -61,8 +63,8 @@
 
 		controlLoop: newControlLoop(now),
 	}
-	d.watches.Store(true)
-	return d
+	c.watches.Store(true)
+	return c
 }
 
 // Run runs the control goroutine until the context ends.
--- a/internal/process/appdaemon.go
+++ b/internal/process/appdaemon.go
@@ -190,8 +190,8 @@
 	return cut
 }
 
-// Reload does nothing: no setting of the application interface can change while the
-// process runs. WatchSettings logs the settings that wait for a restart.
+// Reload does nothing: except for the log level, which WatchSettings sets, the application
+// interface applies changed settings only after a restart.
 func (d *AppDaemon) Reload(Settings) {}
 
 // openRequestsTimeout bounds the wait for the control goroutine to count open requests.
--- a/internal/process/availability.go
+++ b/internal/process/availability.go
@@ -11,44 +11,44 @@
 // availability is published for request handlers: which instances may receive requests.
 type availability struct {
 	mu        sync.RWMutex
-	starts    map[string]routing.Instance // by start, without leaving ones; nil before the first publication
+	instances map[string]routing.Instance // by start, without leaving ones; nil before the first publication
 	evacuated map[string]bool             // evacuated places
 	backoffs  map[string]time.Time        // by start: end of the backoff that it asked this router for
 }
 
 // publishAvailability replaces the list of instances and the evacuated places.
 func (rc *RoutedController) publishAvailability(list []routing.Instance, evacuated []routing.Evacuation) {
-	starts := make(map[string]routing.Instance, len(list))
+	instances := make(map[string]routing.Instance, len(list))
 	for _, i := range list {
 		if !i.Draining {
-			starts[i.Start()] = i
+			instances[i.Start()] = i
 		}
 	}
 	rc.availability.mu.Lock()
 	defer rc.availability.mu.Unlock()
-	rc.availability.starts, rc.availability.evacuated = starts, routing.EvacuatedPlaces(evacuated)
+	rc.availability.instances, rc.availability.evacuated = instances, routing.EvacuatedPlaces(evacuated)
 }
 
 // updateAvailability applies changes to the list of instances and replaces the evacuated
 // places.
 func (rc *RoutedController) updateAvailability(c routing.Changes, evacuated []routing.Evacuation) {
-	u := &rc.availability
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.starts == nil {
-		u.starts = map[string]routing.Instance{}
+	a := &rc.availability
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.instances == nil {
+		a.instances = map[string]routing.Instance{}
 	}
 	for _, e := range c.Ended {
-		delete(u.starts, e.Instance.Start())
+		delete(a.instances, e.Instance.Start())
 	}
 	for _, i := range c.Put {
 		if i.Draining {
-			delete(u.starts, i.Start())
+			delete(a.instances, i.Start())
 			continue
 		}
-		u.starts[i.Start()] = i
+		a.instances[i.Start()] = i
 	}
-	u.evacuated = routing.EvacuatedPlaces(evacuated)
+	a.evacuated = routing.EvacuatedPlaces(evacuated)
 }
 
 // instanceStatus is the availability of one start of an instance.
@@ -60,11 +60,11 @@
 	backsOff  bool // it has asked this router for backoff
 }
 
-func (a *availability) of(start string, now time.Time) instanceStatus {
+func (a *availability) status(start string, now time.Time) instanceStatus {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	i, listed := a.starts[start]
-	return instanceStatus{inst: i, known: a.starts != nil, listed: listed, evacuated: a.evacuated[i.Place], backsOff: now.Before(a.backoffs[start])}
+	i, listed := a.instances[start]
+	return instanceStatus{inst: i, known: a.instances != nil, listed: listed, evacuated: a.evacuated[i.Place], backsOff: now.Before(a.backoffs[start])}
 }
 
 // mayCall reports whether the instance may be called: it is not leaving or gone, and has not
--- a/internal/process/availability_test.go
+++ b/internal/process/availability_test.go
@@ -47,8 +47,8 @@
 	assert.Equal(t, forward.UpstreamBacksOff, s.Unusable(p))
 	s.availability.backOff(i.Start(), now.Add(time.Second), now)
 	assert.Equal(t, forward.UpstreamBacksOff, s.Unusable(p), "a shorter one does not end it")
-	assert.True(t, s.availability.of(i.Start(), now.Add(2*time.Second)).backsOff)
-	assert.False(t, s.availability.of(i.Start(), now.Add(2*time.Minute)).backsOff)
+	assert.True(t, s.availability.status(i.Start(), now.Add(2*time.Second)).backsOff)
+	assert.False(t, s.availability.status(i.Start(), now.Add(2*time.Minute)).backsOff)
 	i.Born = 8
 	s.publishAvailability([]routing.Instance{i}, nil)
 	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: i}), "another start")
--- a/internal/process/callerserver.go
+++ b/internal/process/callerserver.go
@@ -44,11 +44,11 @@
 	if err != nil {
 		return nil, ErrSettings.Wrap(err, "[router] caller_address = %q", addr)
 	}
-	e := &callerServer{listener: l, connLimiter: newConnLimiter(descriptors), controlBehind: controlBehind, log: log}
-	e.handler = e.withCloseHint(handler)
-	e.setLimits(initialLimits)
-	go e.accept()
-	return e, nil
+	cs := &callerServer{listener: l, connLimiter: newConnLimiter(descriptors), controlBehind: controlBehind, log: log}
+	cs.handler = cs.withCloseHint(handler)
+	cs.setLimits(initialLimits)
+	go cs.accept()
+	return cs, nil
 }
 
 // withCloseHint asks callers to close their connections while many are open.
@@ -80,8 +80,8 @@
 	}
 	cs.chanListener = newChanListener(cs.listener.Addr())
 	cs.servers = append(cs.servers, cs.current)
-	go func(s *http.Server, f *chanListener) {
-		if err := s.Serve(f); !errors.Is(err, http.ErrServerClosed) {
+	go func(s *http.Server, ln *chanListener) {
+		if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			cs.log.Error().Err(err).Msg("callers-listener-ended")
 		}
 	}(cs.current, cs.chanListener)
@@ -99,9 +99,9 @@
 			continue
 		}
 		cs.mu.Lock()
-		f := cs.chanListener
+		ln := cs.chanListener
 		cs.mu.Unlock()
-		f.deliver(c)
+		ln.deliver(c)
 	}
 }
 
--- a/internal/process/forwardcontrol.go
+++ b/internal/process/forwardcontrol.go
@@ -20,7 +20,7 @@
 // Unusable implements forward.Control.
 func (rc *RoutedController) Unusable(p *dispatch.Place) forward.Unusable {
 	now := rc.now()
-	up := rc.availability.of(p.Instance.Start(), now)
+	up := rc.availability.status(p.Instance.Start(), now)
 	switch {
 	case !up.known:
 		return forward.MaySend
@@ -43,7 +43,7 @@
 
 // UpstreamLeaves implements forward.Control.
 func (rc *RoutedController) UpstreamLeaves(start string) {
-	up := rc.availability.of(start, rc.now())
+	up := rc.availability.status(start, rc.now())
 	if !up.listed {
 		return // already known to be leaving or gone
 	}
@@ -54,7 +54,7 @@
 func (rc *RoutedController) UpstreamBacksOff(start string, d time.Duration) {
 	now := rc.now()
 	rc.availability.backOff(start, now.Add(d), now)
-	if up := rc.availability.of(start, now); up.listed {
+	if up := rc.availability.status(start, now); up.listed {
 		rc.Step(dispatch.RetryAfter{Instance: up.inst, For: d})
 	}
 }
--- a/internal/process/operator.go
+++ b/internal/process/operator.go
@@ -16,11 +16,11 @@
 
 // operatorHandler returns the operators' handler of the application interface: health,
 // readiness, status and metrics.
-func operatorHandler(d *AppController, reg metrics.Registry) http.Handler {
+func operatorHandler(ctrl *AppController, reg metrics.Registry) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	r.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !d.Ready() {
+		if !ctrl.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -28,19 +28,19 @@
 	})
 	r.HandleFunc("/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(d.View()) // a write fails only when the operator has disconnected
+		_ = json.NewEncoder(w).Encode(ctrl.View()) // a write fails only when the operator has disconnected
 	})
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		writeMetrics(w, d, reg)
+		writeMetrics(w, ctrl, reg)
 	})
 	return r
 }
 
 // writeMetrics writes the registry and the control state in the Prometheus text format.
-func writeMetrics(w http.ResponseWriter, d *AppController, reg metrics.Registry) {
+func writeMetrics(w http.ResponseWriter, ctrl *AppController, reg metrics.Registry) {
 	lines := map[string]string{}
-	if v := d.View(); v != nil {
+	if v := ctrl.View(); v != nil {
 		lines["silverswitch_configuration_revision"] = fmt.Sprintf("%d", v.Revision)
 		lines["silverswitch_requests_waiting"] = fmt.Sprintf("%d", v.Waiting)
 		lines["silverswitch_requests_running"] = fmt.Sprintf("%d", v.Running)
--- a/internal/process/overload.go
+++ b/internal/process/overload.go
@@ -37,7 +37,7 @@
 // enough: timers and the control goroutine are scheduled first, and a router that uses all
 // of its CPU shows a lag of only a few milliseconds.
 type overloadDetector struct {
-	cores         float64 // 0 when the settings do not state it
+	cores         float64 // 0 when unknown
 	lag           schedLagMeter
 	cpuShedRatio  float64       // shed ratio due to CPU use
 	cpuUseBits    atomic.Uint64 // float64 bits of the CPU use in the last period, as a fraction of cores
--- a/internal/process/peercontent.go
+++ b/internal/process/peercontent.go
@@ -44,7 +44,8 @@
 	ForMS uint32
 }
 
-// contentFor returns the content that a router with h lacks, or nil while there is no table.
+// contentFor returns the content that a router at revision h lacks, or nil while there is no
+// table.
 func (rc *RoutedController) contentFor(h contentRevision, now time.Time) *content {
 	if len(rc.view.TableRaw) == 0 {
 		return nil
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -29,8 +29,8 @@
 const HeaderRevision = "X-Revision"
 
 const (
-	platformWatchTimeout  = 25 * time.Second
-	platformClientSlack   = 10 * time.Second
+	platformWatchTimeout  = 25 * time.Second // of one long poll
+	platformClientSlack   = 10 * time.Second // by which the HTTP timeout exceeds the long poll
 	minPlatformRetryPause = time.Second
 	maxPlatformRetryPause = 10 * time.Second
 )
--- a/internal/process/prefixcache.go
+++ b/internal/process/prefixcache.go
@@ -110,7 +110,7 @@
 // acquireAvailable acquires an engine's state if the engine may be called. It may have begun
 // to leave, or asked for backoff, since the list of scheduled engines was published.
 func (p *prefixCachePoller) acquireAvailable(id string) *prefixCacheState {
-	if !p.ctrl.availability.of(id, p.ctrl.now()).mayCall() {
+	if !p.ctrl.availability.status(id, p.ctrl.now()).mayCall() {
 		return nil
 	}
 	return p.acquire(id)
@@ -147,32 +147,32 @@
 		return
 	}
 	p.calls.Inc(1)
-	news, err := p.reader.CachedPartsSince(ctx, e, s.next)
+	update, err := p.reader.CachedPartsSince(ctx, e, s.next)
 	if err != nil {
 		p.log.Debug().Err(err).Str("upstream", e.ID).Msg("kept-parts-not-read")
 		return
 	}
-	if news.Epoch != s.epoch || news.Lost {
-		p.log.Info().Str("upstream", e.ID).Bool("gap", news.Lost).Msg("kept-parts-unknown")
-		restarted := news.Epoch != s.epoch && s.epoch != ""
-		s.epoch, s.complete = news.Epoch, false
+	if update.Epoch != s.epoch || update.Lost {
+		p.log.Info().Str("upstream", e.ID).Bool("gap", update.Lost).Msg("kept-parts-unknown")
+		restarted := update.Epoch != s.epoch && s.epoch != ""
+		s.epoch, s.complete = update.Epoch, false
 		if restarted {
 			p.ctrl.Step(dispatch.Kept{Instance: e.Start(), Full: true})
 		}
 		return
 	}
-	s.next = news.Next
-	p.ctrl.Step(dispatch.Kept{Instance: e.Start(), Parts: news.Changes})
+	s.next = update.Next
+	p.ctrl.Step(dispatch.Kept{Instance: e.Start(), Parts: update.Changes})
 }
 
 func (p *prefixCachePoller) list(ctx context.Context, e routing.Instance, s *prefixCacheState) {
 	s.listedAt = clock.System.Now()
 	p.lists.Inc(1)
-	news, err := p.reader.CachedParts(ctx, e)
+	update, err := p.reader.CachedParts(ctx, e)
 	if err != nil {
 		p.log.Debug().Err(err).Str("upstream", e.ID).Msg("kept-parts-not-listed")
 		return
 	}
-	s.epoch, s.next, s.complete = news.Epoch, news.Next, true
-	p.ctrl.Step(dispatch.Kept{Instance: e.Start(), Full: true, Parts: news.Changes})
+	s.epoch, s.next, s.complete = update.Epoch, update.Next, true
+	p.ctrl.Step(dispatch.Kept{Instance: e.Start(), Full: true, Parts: update.Changes})
 }
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -42,7 +42,7 @@
 	OnTable          func(routing.Limits) // called with the limits of each accepted table; set before Run
 
 	tickets  map[uint64]*forward.Ticket // control goroutine only
-	ticks    int
+	ticks    int                        // control goroutine only
 	overload overloadDetector
 	shed     shedTotals
 
@@ -80,7 +80,7 @@
 // NewRoutedController returns a controller that is not running yet.
 func NewRoutedController(set dispatch.Settings, source Source, route *conn.Route, sealer *conn.Sealer, exchanges *conn.Exchanges, log zerolog.Logger) *RoutedController {
 	now := clock.System.Now()
-	s := &RoutedController{
+	rc := &RoutedController{
 		id:                   set.ID,
 		node:                 dispatch.New(set, now),
 		view:                 routing.NewView(),
@@ -96,8 +96,8 @@
 
 		controlLoop: newControlLoop(now),
 	}
-	s.watches.Store(s.node.Watches(now))
-	return s
+	rc.watches.Store(rc.node.Watches(now))
+	return rc
 }
 
 // refreshClock adds a suspension of the VM to the clock and logs it. The node handles the
@@ -275,7 +275,8 @@
 	})
 }
 
-// Open returns the number of requests without an outcome, or 0 once the control goroutine has ended.
+// Open returns the number of requests without an outcome, or 0 when the control goroutine
+// has ended or does not answer in time.
 func (rc *RoutedController) Open() int {
 	n, _ := query(&rc.controlLoop, openRequestsTimeout, func(time.Time) int { return len(rc.tickets) })
 	return n
--- a/internal/process/sentmetrics.go
+++ b/internal/process/sentmetrics.go
@@ -50,13 +50,13 @@
 }
 
 func newSentMetrics(reg metrics.Registry) sentMetrics {
-	var c sentMetrics
+	var m sentMetrics
 	for p, name := range purposeNames {
-		c.bytes[p] = metrics.GetOrRegisterCounter("control.sent."+name+".bytes", reg)
-		c.datagrams[p] = metrics.GetOrRegisterCounter("control.sent."+name+".datagrams", reg)
+		m.bytes[p] = metrics.GetOrRegisterCounter("control.sent."+name+".bytes", reg)
+		m.datagrams[p] = metrics.GetOrRegisterCounter("control.sent."+name+".datagrams", reg)
 	}
-	c.otherPlaces = metrics.GetOrRegisterCounter("control.sent.other-places.bytes", reg)
-	return c
+	m.otherPlaces = metrics.GetOrRegisterCounter("control.sent.other-places.bytes", reg)
+	return m
 }
 
 // log logs the totals.
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -26,38 +26,38 @@
 // Settings are the settings of the process. The comment at each field names its key in the
 // settings file. Only the fields in reloadable may change while the process runs.
 type Settings struct {
-	Peer     string        // [router] peer_address: UDP and TCP, also the router's identity
-	Place    string        // [router] place
-	Callers  string        // [router] caller_address
-	Public   string        // [router] caller_url
-	Operator string        // [router] operator_address
-	Seeds    []wire.NodeID // [fleet] seeds
-	Secret   string        // [fleet] secret
-	First    bool          // [fleet] first_start: true at the first start of the whole fleet
-	Platform string        // [platform] url
-	Kind     string        // [platform] kind: values or store
-	Metrics  string        // [metrics] address of an additional metrics listener, "" for none
-	Ready    string        // [ready] address of an additional readiness listener, "" for none
-	ReadyAt  string        // [ready] path
-	Retry    dispatch.RetryRules
-	Cold     dispatch.ColdRules
-	Regions  map[string]string // [regions]: region by place
-	MemoryMB int               // [machine] memory_mb, 0 when unknown
-	Cores    float64           // [machine] cores, 0 when unknown
-	Files    int               // [machine] descriptors, 0 when unknown
-	CertFile string            // [tls] certificate
-	KeyFile  string            // [tls] key
-	PlainOK  bool              // [tls] plain_text_allowed
-	LogLevel string            // [log] level
-	Exporter string            // [trace] exporter
-	Collect  string            // [trace] endpoint
-	Sample   float64           // [trace] ratio
-	Wait     time.Duration     // [stop] balancer_wait
-	Bound    time.Duration     // [stop] bound, 0 for none
-	Limits   request.Limits
-	Header   int           // [limits] header_bytes
-	HeadTime time.Duration // [limits] header_time
-	IdleTime time.Duration // [limits] idle_time
+	Peer     string              // [router] peer_address: UDP and TCP, also the router's identity
+	Place    string              // [router] place
+	Callers  string              // [router] caller_address
+	Public   string              // [router] caller_url
+	Operator string              // [router] operator_address
+	Seeds    []wire.NodeID       // [fleet] seeds
+	Secret   string              // [fleet] secret
+	First    bool                // [fleet] first_start: true at the first start of the whole fleet
+	Platform string              // [platform] url
+	Kind     string              // [platform] kind: values or store
+	Metrics  string              // [metrics] address of an additional metrics listener, "" for none
+	Ready    string              // [ready] address of an additional readiness listener, "" for none
+	ReadyAt  string              // [ready] path
+	Retry    dispatch.RetryRules // [retry]
+	Cold     dispatch.ColdRules  // [cold]
+	Regions  map[string]string   // [regions]: region by place
+	MemoryMB int                 // [machine] memory_mb, 0 when unknown
+	Cores    float64             // [machine] cores, 0 when unknown
+	Files    int                 // [machine] descriptors, 0 when unknown
+	CertFile string              // [tls] certificate
+	KeyFile  string              // [tls] key
+	PlainOK  bool                // [tls] plain_text_allowed
+	LogLevel string              // [log] level
+	Exporter string              // [trace] exporter
+	Collect  string              // [trace] endpoint
+	Sample   float64             // [trace] ratio
+	Wait     time.Duration       // [stop] balancer_wait
+	Bound    time.Duration       // [stop] bound, 0 for none
+	Limits   request.Limits      // [limits] body_bytes, answer_bytes, body_time, stall_time
+	Header   int                 // [limits] header_bytes
+	HeadTime time.Duration       // [limits] header_time
+	IdleTime time.Duration       // [limits] idle_time
 }
 
 // Bounds of numeric settings.
@@ -293,11 +293,11 @@
 		ready.Fault("path", s.ReadyAt, "a path that begins with a slash")
 	}
 	ready.Done()
-	figures := r.section("metrics")
-	if figures.TextOr("address", "") != "" {
-		s.Metrics = figures.Address("address")
+	metrics := r.section("metrics")
+	if metrics.TextOr("address", "") != "" {
+		s.Metrics = metrics.Address("address")
 	}
-	figures.Done()
+	metrics.Done()
 	retry := r.section("retry")
 	def := dispatch.DefaultRetryRules
 	s.Retry = dispatch.RetryRules{
--- a/internal/process/sourcewatcher.go
+++ b/internal/process/sourcewatcher.go
@@ -129,7 +129,7 @@
 
 // sourceAnswered ends an outage, if there was one, and reports whether it was long enough
 // for entries to have lapsed meanwhile.
-func (w *sourceWatcher) sourceAnswered(asOf uint64) (back bool) {
+func (w *sourceWatcher) sourceAnswered(asOf uint64) (returned bool) {
 	if w.failingSince.IsZero() {
 		return false
 	}
--- a/internal/process/storecontent.go
+++ b/internal/process/storecontent.go
@@ -47,24 +47,24 @@
 }
 
 // ApplyListing applies content or changes read from the source. whole means that the
-// listing is complete, so that instances missing from it are gone. back means that the
+// listing is complete, so that instances missing from it are gone. returned means that the
 // source had been unavailable, so that entries may have lapsed meanwhile.
-func (rc *RoutedController) ApplyListing(l Listing, whole, back bool) {
+func (rc *RoutedController) ApplyListing(l Listing, whole, returned bool) {
 	rc.enqueue(func(now time.Time) {
-		rc.applyListing(l, whole, back, now)
+		rc.applyListing(l, whole, returned, now)
 	})
 }
 
-func (rc *RoutedController) applyListing(l Listing, whole, back bool, now time.Time) {
+func (rc *RoutedController) applyListing(l Listing, whole, returned bool, now time.Time) {
 	before, revision, asOf := rc.tableVersion(), rc.view.Revision, rc.view.AsOf
 	rc.logOlderListing(l, whole)
 	var list []routing.Instance
 	var evacuated []routing.Evacuation
 	if whole {
 		list, evacuated = splitListing(l, now)
-		back = rc.enterEra(l.AsOf, list, now) || back
+		returned = rc.enterEra(l.AsOf, list, now) || returned
 	}
-	if back {
+	if returned {
 		rc.view.StoreReturned(now)
 	}
 	for _, c := range l.Changes {
@@ -81,7 +81,7 @@
 	} else {
 		rc.node.Step(dispatch.Seen{AsOf: rc.view.AsOf}, now)
 	}
-	rc.node.Step(dispatch.Sighted{Delta: announcedDelta(deltaOf(l, whole, asOf)), Whole: whole, Back: back}, now)
+	rc.node.Step(dispatch.Sighted{Delta: announcedDelta(deltaOf(l, whole, asOf)), Whole: whole, Back: returned}, now)
 	if after := rc.tableVersion(); after != before {
 		rc.log.Info().Uint64("version", after).Uint64("before", before).Uint64("revision", rc.view.TableRev).Msg("table-accepted")
 	}
