--- a/internal/process/acceptdelay_test.go
+++ b/internal/process/acceptdelay_test.go
@@ -16,25 +16,25 @@
 	"github.com/silverswitch/silverswitch/internal/standin"
 )
 
-// Load pattern: a flood at a small router, which refuses requests as fast as they come and
-// reads no datagram. It accepts the next caller when control was read, and in any case
-// after a while.
+// Load pattern: a flood at a small router, which refuses requests as fast as they arrive and
+// reads no datagram. The router must accept the next connection once the datagrams have been
+// read, or after maxAcceptDelay if that does not happen.
 func TestAcceptIsDelayedWhileControlIsBehind(t *testing.T) {
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {})
-	var looks atomic.Int64
-	for name, behindFor := range map[string]int64{"until control is read": 3, "for ever": 1 << 40} {
-		looks.Store(0)
-		e, err := newCallerServer("127.0.0.1:0", ok, 0, func() bool { return looks.Add(1) <= behindFor }, zerolog.Nop())
+	var checks atomic.Int64
+	for name, behindFor := range map[string]int64{"until datagrams are read": 3, "control stays behind": 1 << 40} {
+		checks.Store(0)
+		e, err := newCallerServer("127.0.0.1:0", ok, 0, func() bool { return checks.Add(1) <= behindFor }, zerolog.Nop())
 		require.NoError(t, err, name)
 		res, err := http.Get("http://" + e.listener.Addr().String())
 		require.NoError(t, err, name)
 		res.Body.Close()
-		assert.Greater(t, looks.Load(), int64(3), name)
+		assert.Greater(t, checks.Load(), int64(3), name)
 		e.close()
 	}
 }
 
-// A datagram that lies unread is seen, and not taken.
+// Waiting reports an unread datagram without consuming it.
 func TestWaitingReportsUnreadDatagram(t *testing.T) {
 	s, err := conn.NewSealer("a-secret-for-tests-only", "route")
 	require.NoError(t, err)
--- a/internal/process/admission_test.go
+++ b/internal/process/admission_test.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// The door goes on refusing what shares do not cover for a while after the processor has
-// caught up: the flood that it is spared would make it short again.
+// Admission ratios must stay in force for admissionHoldDuration after an overload: if they
+// ended with it, the flood that they keep out would overload the router again.
 func TestAdmitRatiosStayInForceAfterOverload(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	s := &RoutedController{node: dispatch.New(dispatch.Settings{ID: "10.0.0.1:1"}, now), log: zerolog.Nop()}
@@ -19,7 +19,7 @@
 	s.overloaded = true
 	s.publishAdmitRatios(now)
 	assert.NotNil(t, s.admitRatios.Load())
-	assert.Equal(t, 1.0, s.Covered("engines", "flood"), "nothing is known of it")
+	assert.Equal(t, 1.0, s.Covered("engines", "flood"), "no ratio is known for the organisation")
 	s.admitRatios.Store(&map[serviceOrg]float64{{"engines", "flood"}: 0.1})
 	assert.Equal(t, 0.1, s.Covered("engines", "flood"))
 	assert.Equal(t, 1.0, s.Covered("engines", "small"))
--- a/internal/process/app_e2e_test.go
+++ b/internal/process/app_e2e_test.go
@@ -31,7 +31,7 @@
 
 const testSecret = "a-secret-for-tests-only"
 
-// testFleet is three routers in this process before stand-ins on loopback.
+// testFleet runs three routers in this process in front of stand-ins on loopback.
 type testFleet struct {
 	t        testing.TB
 	platform *standin.Platform
@@ -56,13 +56,14 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// newTestFleet starts everything and publishes the first version. Organisation
-// wide may be in every place, narrow only in p0 and p1.
+// newTestFleet starts the fleet and publishes the first version. Organisation wide may run in
+// every place, organisation narrow only in p0 and p1.
 func newTestFleet(t testing.TB) *testFleet {
 	return newTestFleetOf(t, func(h http.Handler) string { return serve(t, h) })
 }
 
-// newTestFleetOf is newTestFleet with engines that are served in another way.
+// newTestFleetOf is newTestFleet with engines served by serveEngine, which returns their
+// address.
 func newTestFleetOf(t testing.TB, serveEngine func(http.Handler) string) *testFleet {
 	f := &testFleet{t: t, platform: standin.NewPlatform(), plain: &standin.Plain{BreakOn: "/break"}}
 	var text strings.Builder
@@ -118,7 +119,7 @@
 
 func memberCount[M any](members []M) int { return len(members) }
 
-// publish packs the files under the next revision.
+// publish publishes the files as a version with the next revision.
 func (f *testFleet) publish() {
 	f.revision++
 	raw, err := version.Packed{Revision: f.revision, Files: f.files}.Encode()
@@ -138,7 +139,7 @@
 	err     error
 }
 
-// send makes one call and reads all of it; redirects are not followed.
+// send makes one call and reads the whole response. It does not follow redirects.
 func send(method, url, key, body string, header map[string]string) response {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -166,7 +167,8 @@
 	return send(http.MethodPost, f.url(router)+"/v1/chat/completions", "wide-key", chatBody(app, text, stream, tokens), nil)
 }
 
-// events checks a stream's events: one of each position, in order, to the end.
+// requireStreamEvents checks that a stream has exactly one event for each position, in order,
+// and ends.
 func requireStreamEvents(t require.TestingT, a response, text string, tokens int) {
 	require.NoError(t, a.err)
 	require.Equal(t, outcome.Answered, outcome.Kind(a.trailer.Get(outcome.HeaderOutcome)))
@@ -199,7 +201,7 @@
 	wg.Wait()
 }
 
-// assertT lets checks made for the test's goroutine be used in others.
+// assertT allows checks of package require in goroutines other than the test's own.
 type assertT struct{ t *testing.T }
 
 func (a assertT) Errorf(format string, args ...any) { a.t.Errorf(format, args...) }
@@ -283,7 +285,7 @@
 
 func TestRequestWithIdempotencyKeyRunsAtMostOnce(t *testing.T) {
 	f := newTestFleet(t)
-	time.Sleep(5500 * time.Millisecond) // witnesses vouch for keys minted 5 s after their start
+	time.Sleep(5500 * time.Millisecond) // witnesses only accept keys minted at least 5 s after their start
 	key := newKey()
 	first := f.order(0, "/orders", key)
 	require.Equal(t, outcome.Answered, first.kind, first.body)
@@ -296,7 +298,7 @@
 
 	broken := newKey()
 	a := f.order(1, "/break", broken)
-	assert.Equal(t, outcome.Unknown, a.kind, "it ran, and the connection died after the write")
+	assert.Equal(t, outcome.Unknown, a.kind, "the request ran, and the connection broke before the response")
 	assert.Equal(t, outcome.Unknown, f.order(2, "/break", broken).kind)
 	assert.Equal(t, 1, f.executions(broken["Idempotency-Key"]))
 
@@ -320,7 +322,7 @@
 	require.Equal(t, http.StatusOK, a.status)
 	for i := range 30 {
 		a := f.chat(i%3, "chat", "x", false, 2)
-		assert.Equal(t, http.StatusOK, a.status, "a refusal that proves it did not run is tried elsewhere")
+		assert.Equal(t, http.StatusOK, a.status, "after a refusal that proves that it was not run, a request is retried elsewhere")
 	}
 	assert.Empty(t, f.engines[0].Journal.Entries())
 }
@@ -364,8 +366,8 @@
 	assert.Equal(t, outcome.Answered, f.chat(0, "chat", "after", false, 1).kind)
 }
 
-// Before the witnesses have ruled on a key, an earlier call with it may have run:
-// no refusal may say otherwise.
+// Until the witnesses have ruled on a key, an earlier call with it may have run, so a refusal
+// must not claim that the request was not run.
 func TestRefusalBeforeWitnessRulingReportsUnknownOutcome(t *testing.T) {
 	f := newTestFleet(t)
 	huge := strings.Repeat("x", 70000)
@@ -378,7 +380,7 @@
 	assert.Equal(t, outcome.Unknown, elsewhere.kind)
 }
 
-// rawCall writes bytes and returns the status that comes back.
+// rawCall writes text to a router and returns the status of its response.
 func rawCall(t *testing.T, f *testFleet, text string) int {
 	c, err := net.Dial("tcp", f.daemons[0].set.Callers)
 	require.NoError(t, err)
@@ -419,7 +421,8 @@
 	f.files["templates/t.ini"] = strings.Replace(f.files["templates/t.ini"], "[application chat]", "[application talk]", 1)
 	f.publish()
 	f.waitForRevision(2)
-	// An invalid version amid valid ones, and the service restored to an older one.
+	// An invalid version between valid ones, then a configuration service restored to an
+	// older version.
 	good := f.files["templates/t.ini"]
 	f.files["templates/t.ini"] = "broken"
 	f.publish()
@@ -432,7 +435,8 @@
 	f.publish()
 	f.waitForRevision(4)
 	assert.Equal(t, outcome.Answered, f.chat(1, "talk", "x", false, 1).kind)
-	// The service goes down: a router that restarts empty gets it from its peers.
+	// While the configuration service is down, a router that restarts without a version gets
+	// it from its peers.
 	f.platform.SetDown(true)
 	set := f.daemons[2].set
 	f.daemons[2].close()
@@ -468,7 +472,7 @@
 		}()
 	}
 	time.Sleep(700 * time.Millisecond)
-	for _, d := range f.daemons { // every router, the schedulers' too
+	for _, d := range f.daemons { // all routers, including the schedulers
 		wg.Add(1)
 		go func() { defer wg.Done(); assert.Zero(t, d.Shutdown(context.Background())) }()
 	}
@@ -514,7 +518,7 @@
 	assert.Equal(t, 200, res.StatusCode)
 }
 
-// Every hop has a span in the caller's trace, and no span holds content or keys.
+// Every step has a span in the caller's trace, and no span contains content or keys.
 func TestSpansOfARequest(t *testing.T) {
 	rec := tracetest.NewSpanRecorder()
 	old := otel.GetTracerProvider()
--- a/internal/process/availability_test.go
+++ b/internal/process/availability_test.go
@@ -12,14 +12,14 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// A request that was placed and is about to be sent is held back by what has become known
-// since.
+// Before a request is sent, its placement is checked again: the place may have been
+// evacuated, or the instance may have become cold, begun to leave or been replaced since.
 func TestPlacementIsRejectedAfterLaterUpdates(t *testing.T) {
 	now := clock.System.Now()
 	s := &RoutedController{controlLoop: newControlLoop(now)}
 	i := routing.Instance{ID: "a", Place: "p", Born: 7}
 	p := &dispatch.Place{Instance: i}
-	assert.Equal(t, forward.MaySend, s.Unusable(p), "nothing is known yet")
+	assert.Equal(t, forward.MaySend, s.Unusable(p), "nothing is published yet")
 	s.publishAvailability([]routing.Instance{i}, nil)
 	assert.Equal(t, forward.MaySend, s.Unusable(p))
 	s.publishAvailability([]routing.Instance{i}, []routing.Evacuation{{Place: "p"}})
@@ -27,16 +27,17 @@
 	cold, leaving, next := i, i, i
 	cold.ColdUntil, leaving.Draining, next.Born = now.Add(time.Minute), true, 8
 	s.publishAvailability([]routing.Instance{cold}, nil)
-	assert.Equal(t, forward.UpstreamCold, s.Unusable(p), "it was placed before that was known")
+	assert.Equal(t, forward.UpstreamCold, s.Unusable(p), "placed before the instance was known to be cold")
 	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: i, Cold: true, SendBy: now.Add(time.Minute)}))
-	assert.Equal(t, forward.UpstreamCold, s.Unusable(&dispatch.Place{Instance: i, Cold: true, SendBy: now}), "its time is over")
+	assert.Equal(t, forward.UpstreamCold, s.Unusable(&dispatch.Place{Instance: i, Cold: true, SendBy: now}), "SendBy has passed")
 	for _, list := range [][]routing.Instance{{leaving}, {next}, nil} {
 		s.publishAvailability(list, nil)
 		assert.Equal(t, forward.UpstreamLeft, s.Unusable(p))
 	}
 }
 
-// A request that was placed before its upstream asked for backoff was sent there.
+// Guards against sending a request to an upstream that asked for backoff after the request
+// was placed.
 func TestPlacementIsRejectedDuringBackoff(t *testing.T) {
 	now := clock.System.Now()
 	s := &RoutedController{controlLoop: newControlLoop(now)}
@@ -46,10 +47,10 @@
 	s.availability.backOff(i.Start(), now.Add(time.Minute), now)
 	assert.Equal(t, forward.UpstreamBacksOff, s.Unusable(p))
 	s.availability.backOff(i.Start(), now.Add(time.Second), now)
-	assert.Equal(t, forward.UpstreamBacksOff, s.Unusable(p), "a shorter one does not end it")
+	assert.Equal(t, forward.UpstreamBacksOff, s.Unusable(p), "a shorter backoff does not end a longer one")
 	assert.True(t, s.availability.status(i.Start(), now.Add(2*time.Second)).backsOff)
 	assert.False(t, s.availability.status(i.Start(), now.Add(2*time.Minute)).backsOff)
 	i.Born = 8
 	s.publishAvailability([]routing.Instance{i}, nil)
-	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: i}), "another start")
+	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: i}), "the backoff is of an earlier start")
 }
--- a/internal/process/callerserver_test.go
+++ b/internal/process/callerserver_test.go
@@ -17,7 +17,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// startCallerServer serves "ok" under limits that a test can wait for.
+// startCallerServer serves "ok" under the given limits and returns the address.
 func startCallerServer(t *testing.T, l routing.Limits) string {
 	t.Helper()
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
@@ -63,7 +63,7 @@
 	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, code)
 	c, br = dialCallerServer(t, addr)
 	code, err = roundTrip(t, c, br, "")
-	require.NoError(t, err, "others are not harmed")
+	require.NoError(t, err, "other connections still work")
 	assert.Equal(t, 200, code)
 }
 
@@ -80,7 +80,7 @@
 	assert.Equal(t, 200, code)
 	raw, err := io.ReadAll(slowReader)
 	require.NoError(t, err, "closed by the router")
-	assert.Regexp(t, "^HTTP/1.1 4", string(raw), "nothing was read whole, so nothing ran")
+	assert.Regexp(t, "^HTTP/1.1 4", string(raw), "a 4xx status: no complete request was read, so none was run")
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
--- a/internal/process/connlimiter_test.go
+++ b/internal/process/connlimiter_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A router ran out of descriptors over idle connections of
-// callers that open one for each request, and accepted nobody for seconds.
+// Guards against running out of descriptors: callers that open a connection for each request
+// leave idle ones behind, and a router without free descriptors accepts nobody for seconds.
 func TestLongestIdleConnectionIsClosedForANewOne(t *testing.T) {
-	c := newConnLimiter(reservedDescriptors + 10) // asks to close above 3, closes idle ones above 6
+	c := newConnLimiter(reservedDescriptors + 10) // close hint above 3 connections, idle ones closed above 6
 	var ours, theirs []net.Conn
 	for range 9 {
 		a, b := net.Pipe()
@@ -32,8 +32,8 @@
 	}
 	c.connState(ours[0], http.StateActive) // in use again
 	c.connState(ours[6], http.StateNew)
-	assert.True(t, closed(1), "the longest idle one")
-	assert.False(t, closed(0), "one in use")
+	assert.True(t, closed(1), "the longest idle connection")
+	assert.False(t, closed(0), "a connection in use")
 	assert.False(t, closed(2))
 	c.connState(ours[1], http.StateClosed)
 	assert.Equal(t, 6, c.open)
--- a/internal/process/crashingrequest_test.go
+++ b/internal/process/crashingrequest_test.go
@@ -17,8 +17,8 @@
 	"github.com/silverswitch/silverswitch/internal/request/outcome"
 )
 
-// mortal serves a handler at one address. Its process ends when it gets a body with the
-// word, and starts again there.
+// crashingServer serves a handler at one address. It closes when it receives a body that
+// contains the keyword, and starts again at the same address after restartDelay.
 type crashingServer struct {
 	t       testing.TB
 	handler http.Handler
@@ -30,19 +30,19 @@
 	closed  bool
 }
 
-// restartDelay is how long a crashed upstream is away.
+// restartDelay is how long a crashed upstream is unreachable.
 const restartDelay = 100 * time.Millisecond
 
 func serveCrashing(t testing.TB, handler http.Handler, keyword string, crashes *atomic.Int64) string {
-	m := &crashingServer{t: t, handler: handler, addr: "127.0.0.1:0", keyword: keyword, crashes: crashes}
-	m.start()
+	cs := &crashingServer{t: t, handler: handler, addr: "127.0.0.1:0", keyword: keyword, crashes: crashes}
+	cs.start()
 	t.Cleanup(func() {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.closed = true
-		m.server.Close()
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
+		cs.closed = true
+		cs.server.Close()
 	})
-	return m.addr
+	return cs.addr
 }
 
 func (cs *crashingServer) start() {
@@ -72,37 +72,38 @@
 		cs.handler.ServeHTTP(w, r)
 	})
 	cs.server = s
-	go func() { _ = s.Serve(l) }() // ends when it is closed
+	go func() { _ = s.Serve(l) }() // returns when it is closed
 }
 
-// The interface of our own had the same fault as the routed one: what a router remembers
-// of a failure is the upstream's. An application that may be repeated is tried up to four
-// times at one router, and each caller's next try, at whichever router, begins anew.
+// Guards against a request that crashes every upstream it is sent to. A router records a
+// failure for the upstream, not for the request. An idempotent application's request is
+// attempted up to four times at one router, and each retry by the caller, at any router,
+// starts over, so that without quarantine one request ends one upstream after another.
 func TestRetriedCrashingRequestCrashesFewUpstreams(t *testing.T) {
 	const (
-		word    = "deadly"
+		keyword = "deadly"
 		tries   = 30
 		allowed = 3 + 3
 	)
-	var ended atomic.Int64
-	f := newTestFleetOf(t, func(h http.Handler) string { return serveCrashing(t, h, word, &ended) })
-	sound := func(router int) func() bool {
+	var crashes atomic.Int64
+	f := newTestFleetOf(t, func(h http.Handler) string { return serveCrashing(t, h, keyword, &crashes) })
+	served := func(router int) func() bool {
 		return func() bool { return f.chat(router, "chat", "sound", false, 5).kind == outcome.Answered }
 	}
 	for i := range places {
-		require.Eventually(t, sound(i), 20*time.Second, 20*time.Millisecond)
+		require.Eventually(t, served(i), 20*time.Second, 20*time.Millisecond)
 	}
 	for i := range tries {
-		f.chat(i%len(places), "chat", word, false, 5)
+		f.chat(i%len(places), "chat", keyword, false, 5)
 		time.Sleep(2 * restartDelay)
 	}
-	assert.LessOrEqual(t, ended.Load(), int64(allowed), "upstreams that ended under one request")
-	assert.GreaterOrEqual(t, ended.Load(), int64(2), "one proves nothing against a request")
+	assert.LessOrEqual(t, crashes.Load(), int64(allowed), "upstreams crashed by one request")
+	assert.GreaterOrEqual(t, crashes.Load(), int64(2), "a single crash is not enough to quarantine a request")
 	for i := range places {
-		a := f.chat(i, "chat", word, false, 5)
+		a := f.chat(i, "chat", keyword, false, 5)
 		assert.Equal(t, outcome.NotRun, a.kind)
 		assert.Equal(t, "crashes-upstreams", a.reason)
 		assert.Equal(t, http.StatusServiceUnavailable, a.status)
-		require.Eventually(t, sound(i), 20*time.Second, 20*time.Millisecond, "others are served")
+		require.Eventually(t, served(i), 20*time.Second, 20*time.Millisecond, "other requests are served")
 	}
 }
--- a/internal/process/overhead_bench_test.go
+++ b/internal/process/overhead_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The cost a router adds to a request on loopback: compare the two in one run.
-// Both count the caller's and the upstream's allocations, which are the same.
+// The difference between these two benchmarks of one run is the cost that a router adds to a
+// request on loopback. Both include the allocations of the caller and the upstream.
 
 func BenchmarkCallDirect(b *testing.B) {
 	f := benchFleet(b)
--- a/internal/process/overload_test.go
+++ b/internal/process/overload_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A router of a fifth of a core that took a
-// thousand requests a second used all it had, at waits of one to three
+// Guards against an overload that scheduling lag alone does not show: a router with a fifth
+// of a core at a thousand requests per second used all of its CPU at a lag of one to three
 // milliseconds, and refused nobody.
 func TestHighCPUUseShedsLoadBeforeLagGrows(t *testing.T) {
 	s := overloadDetector{cores: 0.192}
@@ -20,7 +20,7 @@
 	}
 	assert.InDelta(t, 6*shedRatioStep, s.shedRatio(), 0.001)
 	s.update(0.86, time.Millisecond)
-	assert.InDelta(t, 6*shedRatioStep, s.shedRatio(), 0.001, "at the right load the part stays")
+	assert.InDelta(t, 6*shedRatioStep, s.shedRatio(), 0.001, "the ratio stays between lowCPUUseRatio and highCPUUseRatio")
 	for range 20 {
 		s.update(0.4, calm)
 	}
@@ -31,7 +31,8 @@
 	assert.InDelta(t, maxShedRatio, s.shedRatio(), 0.001)
 }
 
-// A VM may give more than the settings say: use without waits is no strain.
+// A VM may provide more cores than the settings state, so high CPU use without lag is no
+// overload.
 func TestHighCPUUseWithoutLagShedsNothing(t *testing.T) {
 	s := overloadDetector{cores: 0.1}
 	for range 50 {
--- a/internal/process/peercontent_test.go
+++ b/internal/process/peercontent_test.go
@@ -18,7 +18,7 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// viewer is a router's view without its network.
+// newTestController returns a controller without a network and a source.
 func newTestController(t *testing.T) *RoutedController {
 	t.Helper()
 	return NewRoutedController(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
@@ -49,7 +49,8 @@
 	return tab
 }
 
-// carry takes what one router gives another, as it is encoded, and returns its bytes.
+// transferContent encodes the content that from sends to to, applies it there, and returns
+// its size in bytes.
 func transferContent(t *testing.T, from, to *RoutedController, table *routing.Table) int {
 	t.Helper()
 	now := from.now()
@@ -64,8 +65,8 @@
 	return len(raw)
 }
 
-// A router that knows the list and lacks a table reads the table alone. Before, it read all
-// entries with it: half a megabyte before 6,000 upstreams, at each of 585 routers.
+// A router that lacks only the table must not receive the list of instances with it: with
+// 6,000 upstreams that is half a megabyte for each of 585 routers.
 func TestPeerSendsOnlyMissingContent(t *testing.T) {
 	a, b := newTestController(t), newTestController(t)
 	now := a.now()
@@ -87,9 +88,9 @@
 	assert.False(t, b.needsFullContent)
 }
 
-// A new table that names the same services leaves the list of upstreams alone: at a fifth of
-// a core going through 6,000 of them took a quarter of a second, in which the router refused
-// callers. One that names another service lets its upstreams in.
+// A new table with the same services must not rebuild the list of instances: with a fifth of a
+// core and 6,000 instances that took a quarter of a second, during which the router refused
+// callers. A table with another service makes its instances available.
 func TestNewTableWithSameServicesKeepsInstances(t *testing.T) {
 	s := newTestController(t)
 	now := s.now()
@@ -110,13 +111,14 @@
 	assert.Equal(t, 3, upstreams())
 }
 
-// A router that has missed something notices it by the checksum of the list, and reads all.
+// A router that has missed a change detects it by the checksum of the list, and reads the full
+// content.
 func TestChecksumMismatchTriggersFullRead(t *testing.T) {
 	a, b := newTestController(t), newTestController(t)
 	now := a.now()
 	table := builtTable(t, 1)
 	a.applyListing(listing(10, table, manyInstances(20)), true, false, now)
-	b.applyListing(listing(10, table, manyInstances(19)), true, false, now) // it lacks one, and does not know
+	b.applyListing(listing(10, table, manyInstances(19)), true, false, now) // one instance was missed
 	a.applyListing(listing(11, nil, []routing.Instance{{ID: "new", Service: "llm"}}), false, false, now)
 	transferContent(t, a, b, nil)
 	assert.True(t, b.needsFullContent)
@@ -126,8 +128,8 @@
 	assert.Equal(t, a.view.Instances(), b.view.Instances())
 }
 
-// A whole list that is older than what a router knows is not taken, and does not settle that
-// something was missed: it did, and the router never read the list again.
+// A full list that is older than the view is ignored, so it must not clear needsFullContent:
+// the router would never read the list again.
 func TestOlderContentLeavesFullReadPending(t *testing.T) {
 	a, b := newTestController(t), newTestController(t)
 	now := a.now()
@@ -140,8 +142,8 @@
 	assert.Len(t, b.view.Instances(), 2)
 }
 
-// A router that starts just after a place was evacuated was given what had been packed for
-// another one before that, said that it was ready, and sent requests there.
+// Guards against serving cached content from before an evacuation: a router that starts just
+// after it would become ready and send requests to the evacuated place.
 func TestCachedContentIsNoOlderThanView(t *testing.T) {
 	s := newTestController(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -155,11 +157,12 @@
 	s.ApplyListing(listing(10, builtTable(t, 1), manyInstances(2)), true, false)
 	assert.Zero(t, places())
 	s.ApplyListing(Listing{AsOf: 11, Changes: []Change{{Revision: 11, Place: &PlaceChange{Place: "p", Evacuated: true}}}}, false, false)
-	_, _ = query(&s.controlLoop, time.Second, func(time.Time) bool { return true }) // it has been taken
+	_, _ = query(&s.controlLoop, time.Second, func(time.Time) bool { return true }) // returns after the listing was applied
 	assert.Equal(t, 1, places())
 }
 
-// Changes since a revision that a router does not have say nothing to it.
+// A delta whose base is ahead of the view cannot be applied, because changes in between are
+// missing.
 func TestDeltaWithUnknownBaseIsIgnored(t *testing.T) {
 	a := newTestController(t)
 	now := a.now()
@@ -169,8 +172,8 @@
 	assert.Equal(t, uint64(10), a.view.AsOf)
 }
 
-// A release of hundreds of upstreams at once does not fit into a datagram: routers are told
-// of the revision, and read it.
+// A release that replaces hundreds of upstreams at once does not fit into a datagram: only its
+// revision is announced, and the routers fetch the content.
 func TestLargeDeltaIsFetchedNotAnnounced(t *testing.T) {
 	l := listing(12, nil, manyInstances(maxDeltaEntries+1))
 	assert.Equal(t, &wire.StoreDelta{From: 10, To: 12, Table: true}, announcedDelta(deltaOf(l, false, 10)))
@@ -181,9 +184,9 @@
 	assert.Less(t, len(raw), wire.MaxDatagram)
 }
 
-// An entry that was missing from a listing after an outage was given time by the router that
-// listed, and kept for good by those that read from it: when it was dropped there, no revision
-// told of that.
+// Guards against instances that stay forever at routers that read from a peer: an entry missing
+// from the listing after an outage gets a grace period at the router that listed, and its
+// removal there raises no revision that would announce it to the others.
 func TestPeersDropInstancesMissingAfterOutage(t *testing.T) {
 	inNextEra, ok := routing.RevisionIn(1, 8)
 	require.True(t, ok)
@@ -196,15 +199,15 @@
 			transferContent(t, a, b, builtTable(t, 1))
 			transferContent(t, a, late, builtTable(t, 1))
 			a.applyListing(listing(asOf, nil, list[1:]), true, true, now)
-			assert.Equal(t, asOf, a.view.Revision, "what is missing is a change that peers are told of")
+			assert.Equal(t, asOf, a.view.Revision, "a missing entry counts as a change that is announced to peers")
 			transferContent(t, a, b, nil)
 			for _, s := range []*RoutedController{a, b} {
-				assert.Len(t, s.view.Instances(), 3, "it is given time")
+				assert.Len(t, s.view.Instances(), 3, "within the grace period")
 				s.view.Tick(now.Add(2 * routing.LapseGrace))
 				assert.Len(t, s.view.Instances(), 2)
 			}
 			transferContent(t, a, late, nil)
-			assert.Len(t, late.view.Instances(), 2, "it reads after that")
+			assert.Len(t, late.view.Instances(), 2, "fetched after the grace period")
 		})
 	}
 }
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -165,11 +165,11 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.base+"/v1/values/"+name+"?"+q.Encode(), nil)
 	if err != nil {
-		return nil, "", errPlatform.Wrap(err, "read %s", name)
+		return nil, "", errPlatform.Wrap(err, "read platform value %s", name)
 	}
 	res, err := p.client.Do(req)
 	if err != nil {
-		return nil, "", errPlatform.Wrap(err, "read %s", name)
+		return nil, "", errPlatform.Wrap(err, "read platform value %s", name)
 	}
 	defer res.Body.Close()
 	switch res.StatusCode {
@@ -177,11 +177,11 @@
 		return nil, after, nil
 	case http.StatusOK:
 	default:
-		return nil, "", errPlatform.New("read %s: status %d", name, res.StatusCode)
+		return nil, "", errPlatform.New("read platform value %s: status %d", name, res.StatusCode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(res.Body, version.MaxPacked+1))
 	if err != nil {
-		return nil, "", errPlatform.Wrap(err, "read %s", name)
+		return nil, "", errPlatform.Wrap(err, "read platform value %s", name)
 	}
 	return raw, res.Header.Get(HeaderRevision), nil
 }
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, 8*time.Second, applied[0].Bound)
 	write("bound = 0s", "bound = x")
 	step()
-	assert.Len(t, applied, 1, "a file with faults changes nothing")
+	assert.Len(t, applied, 1, "an invalid file changes nothing")
 	assert.Equal(t, 8*time.Second, set.Bound)
 	write("place = hakata-a", "place = kokura")
 	step()
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -169,7 +169,7 @@
 func LoadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, ErrSettings.Wrap(err, "read settings")
+		return Settings{}, ErrSettings.Wrap(err, "read settings file")
 	}
 	return ParseSettings(path, string(raw))
 }
--- a/internal/process/suspension_test.go
+++ b/internal/process/suspension_test.go
@@ -14,14 +14,15 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// suspendable is a clock whose VM is suspended by the test.
+// newSuspendableClock returns a clock, and the total suspension of its VM for the test to set.
 func newSuspendableClock() (*clock.Clock, *atomic.Int64) {
 	var total atomic.Int64
 	return clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true }), &total
 }
 
-// A VM is suspended for five seconds. Go's monotonic clock does not count them: to a
-// router that goes by it no tick was late, and all that it believes of others seems new.
+// Guards against an unnoticed suspension of the VM. Go's monotonic clock does not count it, so
+// a router that relies on it sees no late tick, and takes outdated information about other
+// routers for current.
 func TestSuspensionCountsAsPause(t *testing.T) {
 	c, total := newSuspendableClock()
 	s := NewRoutedController(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p", Retry: dispatch.DefaultRetryRules}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
@@ -37,5 +38,5 @@
 	assert.Equal(t, uint64(1), s.node.Counts.Woke)
 	assert.Equal(t, uint64(1), d.node.Counts.Woke)
 	s.tick(s.now())
-	assert.Equal(t, uint64(1), s.node.Counts.Woke, "once")
+	assert.Equal(t, uint64(1), s.node.Counts.Woke, "a suspension counts once")
 }
--- a/internal/process/tracing.go
+++ b/internal/process/tracing.go
@@ -30,7 +30,7 @@
 		exp, err = otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.Collect+"/v1/traces"))
 	}
 	if err != nil {
-		return nil, ErrSettings.Wrap(err, "trace exporter")
+		return nil, ErrSettings.Wrap(err, "create trace exporter")
 	}
 	res := resource.NewSchemaless(attribute.String("service.name", "silverswitchd"), attribute.String("service.instance.id", s.Peer))
 	p := trace.NewTracerProvider(
