--- a/internal/process/availability.go
+++ b/internal/process/availability.go
@@ -53,7 +53,7 @@
 
 // instanceStatus is the availability of one start of an instance.
 type instanceStatus struct {
-	inst      routing.Instance
+	instance  routing.Instance
 	known     bool // a list was published
 	listed    bool // in the list, and not leaving
 	evacuated bool // its place is evacuated
@@ -64,7 +64,7 @@
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	i, listed := a.instances[start]
-	return instanceStatus{inst: i, known: a.instances != nil, listed: listed, evacuated: a.evacuated[i.Place], backsOff: now.Before(a.backoffs[start])}
+	return instanceStatus{instance: i, known: a.instances != nil, listed: listed, evacuated: a.evacuated[i.Place], backsOff: now.Before(a.backoffs[start])}
 }
 
 // mayCall reports whether the instance may be called: it is not leaving or gone, and has not
--- a/internal/process/controlloop.go
+++ b/internal/process/controlloop.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	opsQueueSize = 1024
-	maxOpsBatch  = 256
+	queueSize    = 1024 // of the queues of operations and of datagrams
+	maxBatchSize = 256  // queued inputs handled before a flush
 )
 
 // op is a function that runs on the control goroutine.
@@ -38,8 +38,8 @@
 
 func newControlLoop(now time.Time) controlLoop {
 	return controlLoop{
-		ops:       make(chan op, opsQueueSize),
-		datagrams: make(chan *wire.Datagram, opsQueueSize),
+		ops:       make(chan op, queueSize),
+		datagrams: make(chan *wire.Datagram, queueSize),
 		startTime: now,
 		clock:     clock.System,
 		done:      make(chan struct{}),
@@ -72,10 +72,10 @@
 	}
 }
 
-// drainQueues handles up to maxOpsBatch inputs that are already queued, so that one
+// drainQueues handles up to maxBatchSize inputs that are already queued, so that one
 // datagram to each peer carries all resulting messages.
 func (l *controlLoop) drainQueues(m stateMachine) {
-	for range maxOpsBatch {
+	for range maxBatchSize {
 		select {
 		case f := <-l.ops:
 			f(l.now())
--- a/internal/process/forwardcontrol.go
+++ b/internal/process/forwardcontrol.go
@@ -30,7 +30,7 @@
 		return forward.PlaceEvacuated
 	case up.backsOff:
 		return forward.UpstreamBacksOff
-	case !p.MaySend(up.inst.ColdUntil, now):
+	case !p.MaySend(up.instance.ColdUntil, now):
 		return forward.UpstreamCold
 	}
 	return forward.MaySend
@@ -47,7 +47,7 @@
 	if !up.listed {
 		return // already known to be leaving or gone
 	}
-	rc.Step(dispatch.SaysLeaving{Instance: up.inst})
+	rc.Step(dispatch.SaysLeaving{Instance: up.instance})
 }
 
 // UpstreamBacksOff implements forward.Control.
@@ -55,7 +55,7 @@
 	now := rc.now()
 	rc.availability.backOff(start, now.Add(d), now)
 	if up := rc.availability.status(start, now); up.listed {
-		rc.Step(dispatch.RetryAfter{Instance: up.inst, For: d})
+		rc.Step(dispatch.RetryAfter{Instance: up.instance, For: d})
 	}
 }
 
--- a/internal/process/overhead_bench_test.go
+++ b/internal/process/overhead_bench_test.go
@@ -16,7 +16,7 @@
 
 func BenchmarkCallDirect(b *testing.B) {
 	f := benchFleet(b)
-	benchCall(b, "http://"+f.counterAddr()+"/x")
+	benchCall(b, "http://"+f.plainAddr()+"/x")
 }
 
 func BenchmarkCallThroughRouter(b *testing.B) {
@@ -32,7 +32,7 @@
 	return f
 }
 
-func (f *testFleet) counterAddr() string {
+func (f *testFleet) plainAddr() string {
 	for _, u := range f.daemons[0].ctrl.Version().Upstreams {
 		if u.Name == "c" {
 			return u.Address
--- a/internal/process/reportlog.go
+++ b/internal/process/reportlog.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// logCold logs that an upstream is now considered cold, or warm again.
-func logCold(log zerolog.Logger, o dispatch.ColdChange) {
+// logColdChange logs that an upstream is now considered cold, or warm again.
+func logColdChange(log zerolog.Logger, o dispatch.ColdChange) {
 	if o.For <= 0 {
 		log.Info().Str("upstream", o.Instance.ID).Str("place", o.Instance.Place).Msg("upstream-warm")
 		return
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -46,9 +46,9 @@
 	overload overloadDetector
 	shed     shedTotals
 
-	overloaded           bool // control goroutine only
-	admitRatios          atomic.Pointer[map[serviceOrg]float64]
-	admissionUntil       time.Time // control goroutine only
+	overloaded           bool                                   // control goroutine only
+	admitRatios          atomic.Pointer[map[serviceOrg]float64] // nil unless admission is limited
+	admissionUntil       time.Time                              // control goroutine only
 	quarantined          quarantineSnapshot
 	availability         availability
 	loggedUnknownService map[string]bool // control goroutine only: by instance start, where a missing service was logged
@@ -229,7 +229,7 @@
 		case dispatch.ShareReport, dispatch.EngineReport, dispatch.AloneReport, dispatch.UpstreamEnded, dispatch.QuarantineReport:
 			logReport(rc.log, o)
 		case dispatch.ColdChange:
-			logCold(rc.log, o)
+			logColdChange(rc.log, o)
 		case dispatch.Event:
 			rc.log.Info().Str("peer", string(o.Router)).Uint64("value", o.Value).Str("detail", o.Detail).Msg(o.Name)
 		}
--- a/internal/process/routeddaemon.go
+++ b/internal/process/routeddaemon.go
@@ -53,8 +53,8 @@
 
 // Deployment holds what depends on the platform that the routers run on.
 type Deployment struct {
-	Source Source
-	Names  forward.Dialect
+	Source      Source
+	HeaderNames forward.Dialect // of the headers that callers and upstreams use
 	// PrefixCache returns a reader of the engines' prefix caches that uses the router's
 	// connections. It is nil where engines do not publish them.
 	PrefixCache func(*conn.Exchanges) PrefixCacheReader
@@ -63,7 +63,7 @@
 // StartRouted opens all listeners and starts serving. On error it closes whatever it has
 // opened.
 func StartRouted(set Settings, dep Deployment, log zerolog.Logger) (*RoutedDaemon, error) {
-	src, names := dep.Source, dep.Names
+	src, names := dep.Source, dep.HeaderNames
 	setMemoryLimit(set.MemoryMB)
 	reg := metrics.NewRegistry()
 	sealer, err := conn.NewSealer(set.Secret, "route")
