--- a/internal/process/admission_test.go
+++ b/internal/process/admission_test.go
@@ -14,18 +14,18 @@
 // ended with it, the flood that they keep out would overload the router again.
 func TestAdmitRatiosStayInForceAfterOverload(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	s := &RoutedController{node: dispatch.New(dispatch.Settings{ID: "10.0.0.1:1"}, now), log: zerolog.Nop()}
-	assert.Equal(t, 1.0, s.Covered("engines", "flood"))
-	s.overloaded = true
-	s.publishAdmitRatios(now)
-	assert.NotNil(t, s.admitRatios.Load())
-	assert.Equal(t, 1.0, s.Covered("engines", "flood"), "no ratio is known for the organisation")
-	s.admitRatios.Store(&map[serviceOrg]float64{{"engines", "flood"}: 0.1})
-	assert.Equal(t, 0.1, s.Covered("engines", "flood"))
-	assert.Equal(t, 1.0, s.Covered("engines", "small"))
-	s.overloaded = false
-	s.publishAdmitRatios(now.Add(admissionHoldDuration))
-	assert.NotNil(t, s.admitRatios.Load())
-	s.publishAdmitRatios(now.Add(admissionHoldDuration + time.Millisecond))
-	assert.Nil(t, s.admitRatios.Load())
+	rc := &RoutedController{node: dispatch.New(dispatch.Settings{ID: "10.0.0.1:1"}, now), log: zerolog.Nop()}
+	assert.Equal(t, 1.0, rc.Covered("engines", "flood"))
+	rc.overloaded = true
+	rc.publishAdmitRatios(now)
+	assert.NotNil(t, rc.admitRatios.Load())
+	assert.Equal(t, 1.0, rc.Covered("engines", "flood"), "no ratio is known for the organisation")
+	rc.admitRatios.Store(&map[serviceOrg]float64{{"engines", "flood"}: 0.1})
+	assert.Equal(t, 0.1, rc.Covered("engines", "flood"))
+	assert.Equal(t, 1.0, rc.Covered("engines", "small"))
+	rc.overloaded = false
+	rc.publishAdmitRatios(now.Add(admissionHoldDuration))
+	assert.NotNil(t, rc.admitRatios.Load())
+	rc.publishAdmitRatios(now.Add(admissionHoldDuration + time.Millisecond))
+	assert.Nil(t, rc.admitRatios.Load())
 }
--- a/internal/process/callerserver_test.go
+++ b/internal/process/callerserver_test.go
@@ -21,11 +21,11 @@
 func startCallerServer(t *testing.T, l routing.Limits) string {
 	t.Helper()
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
-	e, err := newCallerServer("127.0.0.1:0", ok, 0, nil, zerolog.Nop())
+	cs, err := newCallerServer("127.0.0.1:0", ok, 0, nil, zerolog.Nop())
 	require.NoError(t, err)
-	t.Cleanup(e.close)
-	e.setLimits(l)
-	return e.listener.Addr().String()
+	t.Cleanup(cs.close)
+	cs.setLimits(l)
+	return cs.listener.Addr().String()
 }
 
 func dialCallerServer(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
--- a/internal/process/overload_test.go
+++ b/internal/process/overload_test.go
@@ -11,44 +11,44 @@
 // of a core at a thousand requests per second used all of its CPU at a lag of one to three
 // milliseconds, and refused nobody.
 func TestHighCPUUseShedsLoadBeforeLagGrows(t *testing.T) {
-	s := overloadDetector{cores: 0.192}
+	d := overloadDetector{cores: 0.192}
 	const calm = 200 * time.Microsecond
-	s.update(0.5, calm)
-	assert.Zero(t, s.shedRatio())
+	d.update(0.5, calm)
+	assert.Zero(t, d.shedRatio())
 	for range 6 {
-		s.update(1.1, 2*time.Millisecond)
+		d.update(1.1, 2*time.Millisecond)
 	}
-	assert.InDelta(t, 6*shedRatioStep, s.shedRatio(), 0.001)
-	s.update(0.86, time.Millisecond)
-	assert.InDelta(t, 6*shedRatioStep, s.shedRatio(), 0.001, "the ratio stays between lowCPUUseRatio and highCPUUseRatio")
+	assert.InDelta(t, 6*shedRatioStep, d.shedRatio(), 0.001)
+	d.update(0.86, time.Millisecond)
+	assert.InDelta(t, 6*shedRatioStep, d.shedRatio(), 0.001, "the ratio stays between lowCPUUseRatio and highCPUUseRatio")
 	for range 20 {
-		s.update(0.4, calm)
+		d.update(0.4, calm)
 	}
-	assert.Zero(t, s.shedRatio())
+	assert.Zero(t, d.shedRatio())
 	for range 100 {
-		s.update(1.1, 2*time.Millisecond)
+		d.update(1.1, 2*time.Millisecond)
 	}
-	assert.InDelta(t, maxShedRatio, s.shedRatio(), 0.001)
+	assert.InDelta(t, maxShedRatio, d.shedRatio(), 0.001)
 }
 
 // A VM may provide more cores than the settings state, so high CPU use without lag is no
 // overload.
 func TestHighCPUUseWithoutLagShedsNothing(t *testing.T) {
-	s := overloadDetector{cores: 0.1}
+	d := overloadDetector{cores: 0.1}
 	for range 50 {
-		s.update(3, 100*time.Microsecond)
+		d.update(3, 100*time.Microsecond)
 	}
-	assert.Zero(t, s.shedRatio())
+	assert.Zero(t, d.shedRatio())
 }
 
 func TestLagAloneShedsLoad(t *testing.T) {
-	var s overloadDetector
-	s.update(0, minShedLag)
-	assert.Zero(t, s.shedRatio())
-	s.update(0, (minShedLag+fullShedLag)/2)
-	assert.InDelta(t, 0.5, s.shedRatio(), 0.001)
-	s.update(0, time.Second)
-	assert.InDelta(t, maxShedRatio, s.shedRatio(), 0.001)
+	var d overloadDetector
+	d.update(0, minShedLag)
+	assert.Zero(t, d.shedRatio())
+	d.update(0, (minShedLag+fullShedLag)/2)
+	assert.InDelta(t, 0.5, d.shedRatio(), 0.001)
+	d.update(0, time.Second)
+	assert.InDelta(t, maxShedRatio, d.shedRatio(), 0.001)
 }
 
 func TestCPUTimeGrows(t *testing.T) {
--- a/internal/process/peercontent_test.go
+++ b/internal/process/peercontent_test.go
@@ -92,22 +92,22 @@
 // core and 6,000 instances that took a quarter of a second, during which the router refused
 // callers. A table with another service makes its instances available.
 func TestNewTableWithSameServicesKeepsInstances(t *testing.T) {
-	s := newTestController(t)
-	now := s.now()
+	rc := newTestController(t)
+	now := rc.now()
 	list := append(manyInstances(3), routing.Instance{ID: "x", Service: "other", Address: "10.4.0.1:1"})
-	s.applyListing(listing(10, builtTable(t, 1), list), true, false, now)
-	upstreams := func() int { return len(s.statusAt(now).Upstreams) }
+	rc.applyListing(listing(10, builtTable(t, 1), list), true, false, now)
+	upstreams := func() int { return len(rc.statusAt(now).Upstreams) }
 	assert.Equal(t, 3, upstreams())
-	s.applyListing(listing(11, builtTable(t, 2), nil), false, false, now)
-	assert.Equal(t, uint64(2), s.tableVersion())
+	rc.applyListing(listing(11, builtTable(t, 2), nil), false, false, now)
+	assert.Equal(t, uint64(2), rc.tableVersion())
 	assert.Equal(t, 3, upstreams())
-	assert.Equal(t, uint64(2), s.Table().Number)
+	assert.Equal(t, uint64(2), rc.Table().Number)
 	both, err := (&routing.Builder{Number: 3, Services: []*routing.Service{{Name: "llm"}, {Name: "other"}}}).Build()
 	require.NoError(t, err)
-	s.applyListing(listing(12, both, nil), false, false, now)
+	rc.applyListing(listing(12, both, nil), false, false, now)
 	assert.Equal(t, 4, upstreams())
-	assert.Equal(t, forward.MaySend, s.Unusable(&dispatch.Place{Instance: list[3]}))
-	s.applyListing(listing(13, builtTable(t, 4), nil), false, false, now)
+	assert.Equal(t, forward.MaySend, rc.Unusable(&dispatch.Place{Instance: list[3]}))
+	rc.applyListing(listing(13, builtTable(t, 4), nil), false, false, now)
 	assert.Equal(t, 3, upstreams())
 }
 
@@ -145,19 +145,19 @@
 // Guards against serving cached content from before an evacuation: a router that starts just
 // after it would become ready and send requests to the evacuated place.
 func TestCachedContentIsNoOlderThanView(t *testing.T) {
-	s := newTestController(t)
+	rc := newTestController(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go s.Run(ctx)
+	go rc.Run(ctx)
 	places := func() int {
 		var c content
-		require.NoError(t, cbor.Unmarshal(s.PackedContent(conn.Question{}), &c))
+		require.NoError(t, cbor.Unmarshal(rc.PackedContent(conn.Question{}), &c))
 		return len(c.Places)
 	}
-	s.ApplyListing(listing(10, builtTable(t, 1), manyInstances(2)), true, false)
+	rc.ApplyListing(listing(10, builtTable(t, 1), manyInstances(2)), true, false)
 	assert.Zero(t, places())
-	s.ApplyListing(Listing{AsOf: 11, Changes: []Change{{Revision: 11, Place: &PlaceChange{Place: "p", Evacuated: true}}}}, false, false)
-	_, _ = query(&s.controlLoop, time.Second, func(time.Time) bool { return true }) // returns after the listing was applied
+	rc.ApplyListing(Listing{AsOf: 11, Changes: []Change{{Revision: 11, Place: &PlaceChange{Place: "p", Evacuated: true}}}}, false, false)
+	_, _ = query(&rc.controlLoop, time.Second, func(time.Time) bool { return true }) // returns after the listing was applied
 	assert.Equal(t, 1, places())
 }
 
@@ -201,10 +201,10 @@
 			a.applyListing(listing(asOf, nil, list[1:]), true, true, now)
 			assert.Equal(t, asOf, a.view.Revision, "a missing entry counts as a change that is announced to peers")
 			transferContent(t, a, b, nil)
-			for _, s := range []*RoutedController{a, b} {
-				assert.Len(t, s.view.Instances(), 3, "within the grace period")
-				s.view.Tick(now.Add(2 * routing.LapseGrace))
-				assert.Len(t, s.view.Instances(), 2)
+			for _, rc := range []*RoutedController{a, b} {
+				assert.Len(t, rc.view.Instances(), 3, "within the grace period")
+				rc.view.Tick(now.Add(2 * routing.LapseGrace))
+				assert.Len(t, rc.view.Instances(), 2)
 			}
 			transferContent(t, a, late, nil)
 			assert.Len(t, late.view.Instances(), 2, "fetched after the grace period")
--- a/internal/process/quarantine.go
+++ b/internal/process/quarantine.go
@@ -62,27 +62,27 @@
 }
 
 // Quarantined implements request.Control.
-func (c *AppController) Quarantined(org version.ID) map[fingerprint.Fingerprint]quarantine.State {
-	return c.quarantined.forOrg(org)
+func (ac *AppController) Quarantined(org version.ID) map[fingerprint.Fingerprint]quarantine.State {
+	return ac.quarantined.forOrg(org)
 }
 
 // Broke implements request.Control.
-func (c *AppController) Broke(b core.Broke) { c.Step(b) }
+func (ac *AppController) Broke(b core.Broke) { ac.Step(b) }
 
 // ConnRefused implements request.Control.
-func (c *AppController) ConnRefused(up version.ID) { c.Step(core.ConnRefused{Upstream: up}) }
+func (ac *AppController) ConnRefused(up version.ID) { ac.Step(core.ConnRefused{Upstream: up}) }
 
 // AnsweredWhole implements request.Control.
-func (c *AppController) AnsweredWhole(f fingerprint.Fingerprint) { c.Step(core.Answered{Content: f}) }
+func (ac *AppController) AnsweredWhole(f fingerprint.Fingerprint) { ac.Step(core.Answered{Content: f}) }
 
 // probe checks whether an upstream that broke off an answer has ended: its address then
 // refuses connections.
-func (c *AppController) probe(up version.ID) {
-	v := c.version.Load()
+func (ac *AppController) probe(up version.ID) {
+	v := ac.version.Load()
 	if v == nil || v.Upstreams[up] == nil {
 		return // removed by a new configuration
 	}
 	if conn.Refuses(context.Background(), v.Upstreams[up].Address) {
-		c.ConnRefused(up)
+		ac.ConnRefused(up)
 	}
 }
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// SourceFailed tells the node that reading the source failed.
+// SourceFailed reports to the node that reading the source failed.
 func (rc *RoutedController) SourceFailed() { rc.Step(dispatch.Unsighted{}) }
 
 // MaxRetryPause returns the longest pause between two attempts to read a failing source.
--- a/internal/process/suspension_test.go
+++ b/internal/process/suspension_test.go
@@ -25,18 +25,18 @@
 // routers for current.
 func TestSuspensionCountsAsPause(t *testing.T) {
 	c, total := newSuspendableClock()
-	s := NewRoutedController(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p", Retry: dispatch.DefaultRetryRules}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
-	s.clock = c
-	d := NewAppController(core.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, zerolog.Nop())
-	d.clock = c
-	s.tick(s.now())
-	d.tick(d.now())
+	rc := NewRoutedController(dispatch.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p", Retry: dispatch.DefaultRetryRules}, nil, nil, nil, conn.NewExchanges(), zerolog.Nop())
+	rc.clock = c
+	ac := NewAppController(core.Settings{ID: "10.0.0.1:1", Inc: 1, Place: "p"}, nil, nil, zerolog.Nop())
+	ac.clock = c
+	rc.tick(rc.now())
+	ac.tick(ac.now())
 	total.Add(int64(5 * time.Second))
 	refreshClock(c, zerolog.Nop())
-	s.tick(s.now())
-	d.tick(d.now())
-	assert.Equal(t, uint64(1), s.node.Counts.Woke)
-	assert.Equal(t, uint64(1), d.node.Counts.Woke)
-	s.tick(s.now())
-	assert.Equal(t, uint64(1), s.node.Counts.Woke, "a suspension counts once")
+	rc.tick(rc.now())
+	ac.tick(ac.now())
+	assert.Equal(t, uint64(1), rc.node.Counts.Woke)
+	assert.Equal(t, uint64(1), ac.node.Counts.Woke)
+	rc.tick(rc.now())
+	assert.Equal(t, uint64(1), rc.node.Counts.Woke, "a suspension counts once")
 }
