--- a/internal/process/covered.go
+++ b/internal/process/covered.go
@@ -26,7 +26,7 @@
 }
 
 // Covered implements forward.Control.
-func (s *Steerer) Covered(service, org string) float64 {
+func (s *Steerer) AdmitRatio(service, org string) float64 {
 	parts := s.covered.Load()
 	if parts == nil {
 		return 1
--- a/internal/process/covered_test.go
+++ b/internal/process/covered_test.go
@@ -15,14 +15,14 @@
 func TestDoorIsToldWhatSharesCoverWhileShortOfProcessor(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	s := &Steerer{node: dispatch.New(dispatch.Settings{ID: "10.0.0.1:1"}, now), log: zerolog.Nop()}
-	assert.Equal(t, 1.0, s.Covered("engines", "flood"))
+	assert.Equal(t, 1.0, s.AdmitRatio("engines", "flood"))
 	s.strained = true
 	s.publishCovered(now)
 	assert.NotNil(t, s.covered.Load())
-	assert.Equal(t, 1.0, s.Covered("engines", "flood"), "nothing is known of it")
+	assert.Equal(t, 1.0, s.AdmitRatio("engines", "flood"), "nothing is known of it")
 	s.covered.Store(&map[serviceOrg]float64{{"engines", "flood"}: 0.1})
-	assert.Equal(t, 0.1, s.Covered("engines", "flood"))
-	assert.Equal(t, 1.0, s.Covered("engines", "small"))
+	assert.Equal(t, 0.1, s.AdmitRatio("engines", "flood"))
+	assert.Equal(t, 1.0, s.AdmitRatio("engines", "small"))
 	s.strained = false
 	s.publishCovered(now.Add(coverFor))
 	assert.NotNil(t, s.covered.Load())
--- a/internal/process/driver.go
+++ b/internal/process/driver.go
@@ -240,4 +240,4 @@
 }
 
 // Leaving implements request.Control.
-func (d *Driver) Leaving(id version.ID) { d.Step(core.Drain{Upstream: id}) }
+func (d *Driver) UpstreamLeaving(id version.ID) { d.Step(core.Drain{Upstream: id}) }
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -11,10 +11,10 @@
 // What requests ask of the control state. Every method may be called by any goroutine.
 
 // Excess implements forward.Control.
-func (s *Steerer) Excess() float64 { return s.strain.excess() }
+func (s *Steerer) ShedRatio() float64 { return s.strain.excess() }
 
-// TurnedAway implements forward.Control.
-func (s *Steerer) TurnedAway(w dispatch.TurnedWork) { s.turned.add(w) }
+// RequestShed implements forward.Control.
+func (s *Steerer) RequestShed(w dispatch.TurnedWork) { s.turned.add(w) }
 
 // Unusable implements forward.Control.
 func (s *Steerer) Unusable(p *dispatch.Place) forward.Unusable {
--- a/internal/process/routed.go
+++ b/internal/process/routed.go
@@ -122,16 +122,16 @@
 )
 
 // boundsOf is what a router takes on at once, by its memory in MB.
-func boundsOf(mb int) forward.Bounds {
+func boundsOf(mb int) forward.Limits {
 	if mb == 0 {
-		return forward.Bounds{Requests: openUnknown, Answers: answersUnknown}
+		return forward.Limits{MaxRequests: openUnknown, MaxAnswerBytes: answersUnknown}
 	}
-	return forward.Bounds{Requests: openPerMB * mb, Answers: int64(mb) << 20 / answersShare}
+	return forward.Limits{MaxRequests: openPerMB * mb, MaxAnswerBytes: int64(mb) << 20 / answersShare}
 }
 
 // behind reports whether this router is short of processor and datagrams of its peers lie
 // unread.
-func (d *Routed) behind() bool { return d.st.Excess() > 0 && d.route.Waiting() }
+func (d *Routed) behind() bool { return d.st.ShedRatio() > 0 && d.route.Waiting() }
 
 func limitMemory(mb int) {
 	if mb > 0 {
--- a/internal/process/steer.go
+++ b/internal/process/steer.go
@@ -142,13 +142,13 @@
 	s.node.Tick(now)
 	s.held.publish(s.node.Quarantine())
 	s.ticks++
-	if on := s.Excess() > 0; on != s.strained {
+	if on := s.ShedRatio() > 0; on != s.strained {
 		s.strained = on
 		s.node.Step(dispatch.Strained{On: on}, now)
-		s.log.Info().Bool("on", on).Float64("excess", s.Excess()).Msg("short-of-processor")
+		s.log.Info().Bool("on", on).Float64("excess", s.ShedRatio()).Msg("short-of-processor")
 	}
 	if s.strained && s.ticks%strainTicks == 0 {
-		s.log.Info().Float64("use", s.strain.use()).Int64("lag_us", s.strain.lag.lag().Microseconds()).Float64("excess", s.Excess()).Msg("processor-use")
+		s.log.Info().Float64("use", s.strain.use()).Int64("lag_us", s.strain.lag.lag().Microseconds()).Float64("excess", s.ShedRatio()).Msg("processor-use")
 	}
 	if s.ticks%turnedTicks == 0 {
 		if work := s.turned.take(); len(work) > 0 {
@@ -195,7 +195,7 @@
 			s.sent.count(o.Datagram, s.route.Send(o.To, o.Datagram), s.node.IsNear(o.To))
 		case dispatch.Place:
 			if t := s.tickets[o.ID]; t != nil {
-				t.Decide(forward.Decision{Place: &o})
+				t.Decide(forward.Decision{Placement: &o})
 			}
 		case dispatch.Refuse:
 			if t := s.tickets[o.ID]; t != nil {
--- a/internal/request/caller/caller.go
+++ b/internal/request/caller/caller.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	maxRequestID   = 128
-	urgentUrgency  = 2 // u=0 to u=2 go first inside the organisation's share
-	minTimeout     = 10 * time.Millisecond
-	longestTimeout = 2 * time.Hour
+	maxRequestIDBytes = 128
+	maxUrgentUrgency  = 2 // u=0 to u=2 go first inside the organisation's share
+	minTimeout        = 10 * time.Millisecond
+	maxTimeout        = 2 * time.Hour
 )
 
 // Terms are what the headers of one request say.
@@ -54,13 +54,13 @@
 // RequestID returns the caller's request id if it is printable, else a new one.
 func RequestID(r *http.Request) string {
 	id := r.Header.Get(outcome.HeaderRequestID)
-	if id == "" || len(id) > maxRequestID || !printable(id) {
+	if id == "" || len(id) > maxRequestIDBytes || !isPrintable(id) {
 		return uuid.Must(uuid.NewV7()).String()
 	}
 	return id
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -75,23 +75,23 @@
 	if text := r.Header.Get(HeaderTimeout); text != "" {
 		sec, err := strconv.ParseFloat(text, 64)
 		d := time.Duration(sec * float64(time.Second))
-		if err != nil || !(d >= minTimeout && d <= longestTimeout) {
-			return t, badHeader(HeaderTimeout, text, fmt.Sprintf("seconds from %g to %g", minTimeout.Seconds(), longestTimeout.Seconds()))
+		if err != nil || !(d >= minTimeout && d <= maxTimeout) {
+			return t, badHeader(HeaderTimeout, text, fmt.Sprintf("seconds from %g to %g", minTimeout.Seconds(), maxTimeout.Seconds()))
 		}
 		t.Timeout = d
 	}
 	if text := r.Header.Get(HeaderPriority); text != "" {
-		u, err := urgency(text)
+		u, err := parseUrgency(text)
 		if err != nil {
 			return t, badHeader(HeaderPriority, text, "u=0 to u=7")
 		}
-		t.Urgent = u <= urgentUrgency
+		t.Urgent = u <= maxUrgentUrgency
 	}
 	return t, nil
 }
 
 // urgency reads the u parameter of a Priority header; the default is 3.
-func urgency(text string) (int, error) {
+func parseUrgency(text string) (int, error) {
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if name != "u" {
@@ -103,7 +103,7 @@
 		}
 		return n, nil
 	}
-	return urgentUrgency + 1, nil
+	return maxUrgentUrgency + 1, nil
 }
 
 func badHeader(name, value, allowed string) outcome.Failure {
--- a/internal/request/ticket.go
+++ b/internal/request/control.go
@@ -44,7 +44,7 @@
 	// AnsweredWhole says that a request of those in Quarantined has been answered.
 	AnsweredWhole(fingerprint.Fingerprint)
 	// Leaving says that an upstream told this router it is leaving.
-	Leaving(id version.ID)
+	UpstreamLeaving(id version.ID)
 }
 
 // Decision is the core's word on a ticket: a slot, or a refusal.
--- a/internal/request/count.go
+++ b/internal/request/counters.go
@@ -42,8 +42,8 @@
 // Retry budget: retries are at most this part of answers, on every router and so
 // over the fleet, beyond a small reserve.
 const (
-	budgetPart    = 0.1
-	budgetReserve = 10
+	retryBudgetRatio = 0.1
+	maxRetryBudget   = 10
 )
 
 // retryBudget keeps failures from multiplying load. It may be used by any
@@ -53,12 +53,12 @@
 	left float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{left: budgetReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{left: maxRetryBudget} }
 
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+budgetPart, budgetReserve)
+	b.left = min(b.left+retryBudgetRatio, maxRetryBudget)
 }
 
 func (b *retryBudget) take() bool {
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -17,53 +17,53 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// maxSkipped is how much is read of an answer that nobody gets, in bytes, so that its
+// maxDiscardedBytes is how much is read of an answer that nobody gets, in bytes, so that its
 // connection can be kept.
-const maxSkipped = 16 << 20
+const maxDiscardedBytes = 16 << 20
 
 // answer is one upstream's answer to an attempt.
 type answer struct {
 	*run
-	place   *dispatch.Place
-	x       *conn.Exchange
-	began   time.Time
-	silence *watchdog
-	attempt context.Context // ends with the silence of the upstream too
-	whole   bool
-	noted   bool
+	placement     *dispatch.Place
+	exchange      *conn.Exchange
+	began         time.Time
+	silence       *watchdog
+	attempt       context.Context // ends with the silence of the upstream too
+	whole         bool
+	firstReported bool
 
-	firstAfter time.Duration // from sending to the first event
+	timeToFirst time.Duration // from sending to the first event
 }
 
 var (
-	errForeign      = errors.New("the answer is not the upstream's own")
-	errNotResumed   = errors.New("the upstream did not resume the stream")
-	errFalsePromise = errors.New("the upstream's status says that the request did not run, which it may have")
+	errForeign        = errors.New("the answer is not the upstream's own")
+	errNotResumed     = errors.New("the upstream did not resume the stream")
+	errUnprovenNotRun = errors.New("the upstream's status says that the request did not run, which it may have")
 )
 
 // deliver judges the answer's headers and passes it on.
 func (a *answer) deliver() step {
-	defer func() { a.x.Close(a.whole) }()
-	res := a.x.Response
+	defer func() { a.exchange.Close(a.whole) }()
+	res := a.exchange.Response
 	switch {
-	case res.Header.Get(a.s.names.NotExecuted) != "" || res.StatusCode == http.StatusMisdirectedRequest:
+	case res.Header.Get(a.s.dialect.NotExecuted) != "" || res.StatusCode == http.StatusMisdirectedRequest:
 		return a.notExecuted(res)
-	case res.Header.Get(a.s.names.Proof) == "" || res.Header.Get("Content-Encoding") != "":
-		return a.broken(errForeign)
-	case res.StatusCode == http.StatusOK && isEvents(res):
+	case res.Header.Get(a.s.dialect.Proof) == "" || res.Header.Get("Content-Encoding") != "":
+		return a.handleBroken(errForeign)
+	case res.StatusCode == http.StatusOK && isEventStream(res):
 		return a.stream(res)
-	case a.begun:
-		return a.broken(errNotResumed) // its end must not pass for the stream's
-	case isPromise(res.StatusCode) && !a.route.MayRepeat():
-		return a.broken(errFalsePromise)
+	case a.headersSent:
+		return a.handleBroken(errNotResumed) // its end must not pass for the stream's
+	case meansNotRun(res.StatusCode) && !a.route.MayRepeat():
+		return a.handleBroken(errUnprovenNotRun)
 	}
 	return a.plain(res)
 }
 
-// isPromise reports whether a status tells a caller that its request has not run and never
+// meansNotRun reports whether a status tells a caller that its request has not run and never
 // will. An upstream that did not run a request says so in a header besides; without it the
 // request may have run.
-func isPromise(status int) bool {
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -71,61 +71,61 @@
 	return false
 }
 
-func isEvents(res *http.Response) bool {
+func isEventStream(res *http.Response) bool {
 	return strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
 }
 
 // notExecuted follows an upstream's word that it did not run the request.
 func (a *answer) notExecuted(res *http.Response) step {
-	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxSkipped))
+	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes))
 	a.whole = err == nil
-	a.logAttempt(a.place, "not-run-by-upstream: "+strconv.Itoa(res.StatusCode), nil)
+	a.logAttempt(a.placement, "not-run-by-upstream: "+strconv.Itoa(res.StatusCode), nil)
 	if a.ctx.Err() != nil {
 		a.s.ctl.End(a.ticket, wire.NoteUnused)
-		a.giveUp("no-answer-in-time", a.place.Instance.ID, nil)
+		a.giveUp("no-answer-in-time", a.placement.Instance.ID, nil)
 		return stepDone
 	}
 	if a.attempts < a.route.MaxAttempts {
-		return a.again(wire.NoteFailed)
+		return a.retry(wire.NoteFailed)
 	}
 	a.s.ctl.End(a.ticket, wire.NoteFailed)
-	a.afterFailure(a.place, false, nil)
+	a.failAfterAttempt(a.placement, false, nil)
 	return stepDone
 }
 
 // broken follows an answer that cannot be passed on; the request may have run.
-func (a *answer) broken(err error) step {
-	a.ran = true
-	a.broke(a.place, !a.noted, err)
+func (a *answer) handleBroken(err error) step {
+	a.mayHaveRun = true
+	a.reportBrokenAttempt(a.placement, !a.firstReported, err)
 	if errors.Is(context.Cause(a.attempt), conn.ErrSilence) {
-		a.x.FellSilent()
+		a.exchange.FellSilent()
 	}
 	if a.ctx.Err() != nil {
 		a.s.ctl.End(a.ticket, endNote(a.r.Context().Err() == nil))
-		a.giveUp("no-whole-answer-in-time", a.place.Instance.ID, err)
+		a.giveUp("no-whole-answer-in-time", a.placement.Instance.ID, err)
 		return stepDone
 	}
-	a.logAttempt(a.place, "answer-broken", err)
+	a.logAttempt(a.placement, "answer-broken", err)
 	if a.mayRepeat() {
-		a.x.Close(false) // the upstream stops before another begins
-		return a.again(wire.NoteFailed)
+		a.exchange.Close(false) // the upstream stops before another begins
+		return a.retry(wire.NoteFailed)
 	}
 	a.s.ctl.End(a.ticket, wire.NoteFailed)
-	a.afterFailure(a.place, true, err)
+	a.failAfterAttempt(a.placement, true, err)
 	return stepDone
 }
 
 // plain passes on an answer that is not a stream, when it is whole; one that is too large
 // to be held as it comes.
 func (a *answer) plain(res *http.Response) step {
-	a.first()
-	part, err := a.s.answers.hold(res.Body)
-	defer a.s.answers.give(part.taken)
+	a.firstEvent()
+	part, err := a.s.answerBuffers.read(res.Body)
+	defer a.s.answerBuffers.release(part.reserved)
 	if err != nil {
-		return a.broken(err)
+		return a.handleBroken(err)
 	}
 	if !part.whole {
-		return a.passOn(res, part.raw)
+		return a.passThrough(res, part.raw)
 	}
 	a.whole = true
 	a.answeredWhole()
@@ -133,27 +133,27 @@
 	if res.StatusCode >= 500 {
 		note = wire.NoteFailed
 		if a.route.Kind == routing.Idempotent && a.mayRepeat() && a.ctx.Err() == nil {
-			a.ran = true
-			a.logAttempt(a.place, "upstream-status: "+strconv.Itoa(res.StatusCode), nil)
-			a.x.Close(true)
-			return a.again(note)
+			a.mayHaveRun = true
+			a.logAttempt(a.placement, "upstream-status: "+strconv.Itoa(res.StatusCode), nil)
+			a.exchange.Close(true)
+			return a.retry(note)
 		}
 	}
-	a.head(res)
+	a.copyHeaders(res)
 	a.w.Header().Set("Content-Length", strconv.Itoa(len(part.raw)))
 	a.w.WriteHeader(res.StatusCode)
 	_, _ = a.w.Write(part.raw) // the caller may be gone
 	a.s.ctl.End(a.ticket, note)
-	a.logAnswered(a.place, res.StatusCode, a.firstAfter)
+	a.logAnswered(a.placement, res.StatusCode, a.timeToFirst)
 	return stepDone
 }
 
-// passOn passes on an answer of which the beginning has been read. When it breaks, the
+// passThrough passes on an answer of which the beginning has been read. When it breaks, the
 // caller's connection is cut, so that it does not look whole.
-func (a *answer) passOn(res *http.Response, beginning []byte) step {
+func (a *answer) passThrough(res *http.Response, beginning []byte) step {
 	a.silence.stop() // nothing can be tried elsewhere any more
-	a.begun = true
-	a.head(res)
+	a.headersSent = true
+	a.copyHeaders(res)
 	if res.ContentLength >= 0 {
 		a.w.Header().Set("Content-Length", strconv.FormatInt(res.ContentLength, 10))
 	}
@@ -163,20 +163,20 @@
 		_, err = io.Copy(a.w, res.Body)
 	}
 	if err != nil {
-		a.broke(a.place, false, err)
+		a.reportBrokenAttempt(a.placement, false, err)
 		a.s.ctl.End(a.ticket, endNote(a.r.Context().Err() == nil))
-		a.giveUp("answer-broken", a.place.Instance.ID, err)
+		a.giveUp("answer-broken", a.placement.Instance.ID, err)
 		return stepDone
 	}
 	a.whole = true
 	a.answeredWhole()
 	a.s.ctl.End(a.ticket, wire.NoteDone)
-	a.logAnswered(a.place, res.StatusCode, a.firstAfter)
+	a.logAnswered(a.placement, res.StatusCode, a.timeToFirst)
 	return stepDone
 }
 
 // head copies the answer's headers.
-func (a *answer) head(res *http.Response) {
+func (a *answer) copyHeaders(res *http.Response) {
 	h := a.w.Header()
 	copyEndToEnd(h, res.Header)
 	if a.s.ctl.Leaving() {
@@ -184,15 +184,15 @@
 	}
 }
 
-func (a *answer) first() {
-	if a.noted {
+func (a *answer) firstEvent() {
+	if a.firstReported {
 		return
 	}
-	a.noted = true
-	a.ran = true
-	a.firstAfter = time.Since(a.began)
-	a.s.count.first.Update(a.firstAfter)
-	a.s.ctl.First(a.ticket, a.firstAfter)
+	a.firstReported = true
+	a.mayHaveRun = true
+	a.timeToFirst = time.Since(a.began)
+	a.s.count.firstEvent.Update(a.timeToFirst)
+	a.s.ctl.First(a.ticket, a.timeToFirst)
 }
 
 // stream passes events on as they come, each once and in order.
@@ -206,23 +206,23 @@
 			return a.streamEnded(res)
 		}
 		if err != nil {
-			return a.broken(err)
+			return a.handleBroken(err)
 		}
 		buf = e.Raw
-		a.first()
-		a.silence.reset(a.gapLimit())
+		a.firstEvent()
+		a.silence.reset(a.eventGapTimeout())
 		if e.Position != stream.NoPosition {
-			if e.Position <= a.last {
+			if e.Position <= a.lastPosition {
 				continue // passed on before the stream broke
 			}
-			if a.last > 0 && e.Position != a.last+1 {
-				return a.broken(errors.New("an event is missing"))
+			if a.lastPosition > 0 && e.Position != a.lastPosition+1 {
+				return a.handleBroken(errors.New("an event is missing"))
 			}
-			a.last = e.Position
+			a.lastPosition = e.Position
 		}
-		if !a.begun {
-			a.begun = true
-			a.head(res)
+		if !a.headersSent {
+			a.headersSent = true
+			a.copyHeaders(res)
 			a.w.WriteHeader(res.StatusCode)
 		}
 		if _, err := a.w.Write(e.Raw); err != nil {
@@ -232,42 +232,42 @@
 			break
 		}
 	}
-	a.broke(a.place, false, context.Canceled)
+	a.reportBrokenAttempt(a.placement, false, context.Canceled)
 	a.s.ctl.End(a.ticket, wire.NoteDone)
-	a.giveUp("caller-unreachable", a.place.Instance.ID, nil)
+	a.giveUp("caller-unreachable", a.placement.Instance.ID, nil)
 	return stepDone
 }
 
 // streamEnded passes on the end of a stream, if its transfer says that it is one.
 func (a *answer) streamEnded(res *http.Response) step {
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 && a.ctx.Err() != nil {
-		return a.broken(a.ctx.Err())
+		return a.handleBroken(a.ctx.Err())
 	}
 	a.whole = true
 	a.answeredWhole()
-	if !a.begun {
-		a.begun = true
-		a.first()
-		a.head(res)
+	if !a.headersSent {
+		a.headersSent = true
+		a.firstEvent()
+		a.copyHeaders(res)
 		a.w.WriteHeader(res.StatusCode)
 	}
 	a.s.ctl.End(a.ticket, wire.NoteDone)
-	a.logAnswered(a.place, res.StatusCode, a.firstAfter)
+	a.logAnswered(a.placement, res.StatusCode, a.timeToFirst)
 	return stepDone
 }
 
 // Bounds on the silence between two events that counts as a fault, in times of
 // the route's own aim, and at least.
 const (
-	gapTimes = 4
-	minGap   = 700 * time.Millisecond
+	eventGapTargetFactor = 4
+	minEventGapTimeout   = 700 * time.Millisecond
 )
 
-// gapLimit is the silence between events after which a stream is resumed
+// eventGapTimeout is the silence between events after which a stream is resumed
 // elsewhere; 0 is no limit.
-func (a *answer) gapLimit() time.Duration {
+func (a *answer) eventGapTimeout() time.Duration {
 	if !a.mayRepeat() {
 		return 0
 	}
-	return max(minGap, gapTimes*a.route.TargetGap)
+	return max(minEventGapTimeout, eventGapTargetFactor*a.route.TargetGap)
 }
--- a/internal/request/forward/hold_test.go
+++ b/internal/request/forward/answerbuffer_test.go
@@ -13,26 +13,26 @@
 )
 
 // sized is an answer of so many bytes, cut before the last when it is torn.
-func sized(n int, torn bool) string {
+func answerOfSize(n int, torn bool) string {
 	body := strings.Repeat("a", n)
 	if torn {
 		body = body[:n-1] + "\x00"
 	}
-	return okHead + "Content-Length: " + strconv.Itoa(n) + "\r\n\r\n" + body
+	return okHeader + "Content-Length: " + strconv.Itoa(n) + "\r\n\r\n" + body
 }
 
 // Many large answers come at once to a router with a bound of 1 MB on what it holds. It
 // held each whole, up to 16 MB, and more than that it could not pass on at all.
-func TestLargeAnswersArePassedOnAndNotHeld(t *testing.T) {
+func TestLargeAnswersAreStreamedNotBuffered(t *testing.T) {
 	const (
 		callers = 3
 		large   = 17 << 20
 	)
 	var wg sync.WaitGroup
-	r := newRig(t)
+	r := newHarness(t)
 	for range callers {
-		addr, _ := script(t, sized(large, false))
-		r.ctl.ups = append(r.ctl.ups, addr)
+		addr, _ := scriptedUpstream(t, answerOfSize(large, false))
+		r.control.ups = append(r.control.ups, addr)
 	}
 	for range callers {
 		wg.Go(func() {
@@ -42,32 +42,32 @@
 				assert.Equal(t, int64(large), res.ContentLength)
 				assert.Len(t, body, large)
 			}
-			assert.LessOrEqual(t, r.server.answers.used.Load(), r.server.answers.most)
+			assert.LessOrEqual(t, r.server.answerBuffers.used.Load(), r.server.answerBuffers.limit)
 		})
 	}
 	wg.Wait()
-	assert.Eventually(t, func() bool { return r.server.answers.used.Load() == 0 }, 10*time.Second, time.Millisecond, "all is given back")
+	assert.Eventually(t, func() bool { return r.server.answerBuffers.used.Load() == 0 }, 10*time.Second, time.Millisecond, "all is given back")
 }
 
 // What is passed on as it comes is cut when it breaks, and not sent elsewhere.
 func TestLargeAnswerThatBreaksIsCut(t *testing.T) {
-	first, _ := script(t, sized(4<<20, true))
-	second, got := script(t, okHello)
-	r := newRig(t, first, second)
+	first, _ := scriptedUpstream(t, answerOfSize(4<<20, true))
+	second, got := scriptedUpstream(t, okHelloAnswer)
+	r := newHarness(t, first, second)
 	_, _, err := r.do(t, "GET", "/safe/x", "")
 	assert.Error(t, err)
 	assert.Empty(t, got())
-	assert.Eventually(t, func() bool { return len(r.ctl.noted()) == 1 }, 10*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return len(r.control.recordedNotes()) == 1 }, 10*time.Second, time.Millisecond)
 }
 
 // A small answer that breaks is tried elsewhere: it is held until it is whole.
-func TestSmallAnswerThatBreaksIsTriedElsewhere(t *testing.T) {
-	first, _ := script(t, sized(100<<10, true))
-	second, _ := script(t, okHello)
-	r := newRig(t, first, second)
+func TestSmallAnswerThatBreaksIsRetriedElsewhere(t *testing.T) {
+	first, _ := scriptedUpstream(t, answerOfSize(100<<10, true))
+	second, _ := scriptedUpstream(t, okHelloAnswer)
+	r := newHarness(t, first, second)
 	res, body, err := r.do(t, "GET", "/safe/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, res.StatusCode)
 	assert.Equal(t, "hello", body)
-	assert.Eventually(t, func() bool { return r.server.answers.used.Load() == 0 }, 10*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.server.answerBuffers.used.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
--- a/internal/request/forward/bench_test.go
+++ b/internal/request/forward/bench_test.go
@@ -15,14 +15,14 @@
 	"github.com/silverswitch/silverswitch/internal/conn"
 )
 
-// BenchmarkRefusalAtTheDoor is one request of 9 KB on a new connection, refused before its
+// BenchmarkShedRequest is one request of 9 KB on a new connection, refused before its
 // body is read: 167 us with the caller's own work, of which 13 are this package's and the
 // rest net/http's, the kernel's and the caller's (processor profile of 20,000).
-func BenchmarkRefusalAtTheDoor(b *testing.B) {
+func BenchmarkShedRequest(b *testing.B) {
 	ctl := &fakeControl{table: testTable(b)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	s := &http.Server{Handler: NewServer(ctl, conn.NewExchanges(), testDialect, testKey(b), Bounds{}, metrics.NewRegistry(), zerolog.Nop())}
+	s := &http.Server{Handler: NewServer(ctl, conn.NewExchanges(), testDialect, testKey(b), Limits{}, metrics.NewRegistry(), zerolog.Nop())}
 	go func() { _ = s.Serve(l) }()
 	defer s.Close()
 	body := strings.Repeat("x", 9200)
--- a/internal/request/forward/control.go
+++ b/internal/request/forward/control.go
@@ -26,12 +26,12 @@
 	End(t *Ticket, note uint8)
 	// Excess returns the part of all arrivals that this router should refuse for
 	// want of processor.
-	Excess() float64
+	ShedRatio() float64
 	// Covered returns the part of an organisation's requests for a service that is to be
 	// let in while this router is short of processor: 1 unless it has had its share.
-	Covered(service, org string) float64
-	// TurnedAway says that work was refused for that reason, without Submit.
-	TurnedAway(w dispatch.TurnedWork)
+	AdmitRatio(service, org string) float64
+	// RequestShed says that work was refused for that reason, without Submit.
+	RequestShed(w dispatch.TurnedWork)
 	// Unusable says why a request may no longer be sent where it was placed, by what is
 	// known now; MaySend when it may.
 	Unusable(*dispatch.Place) Unusable
@@ -66,13 +66,13 @@
 	PlaceEvacuated   Unusable = "place-evacuated-before-send"
 	UpstreamBacksOff Unusable = "upstream-backs-off-before-send"
 	UpstreamCold     Unusable = "upstream-cold-before-send"
-	HealthSaysNo     Unusable = "upstream-not-ready-by-its-health"
+	UpstreamNotReady Unusable = "upstream-not-ready-by-its-health"
 )
 
 // Decision is where a request runs, or why it does not.
 type Decision struct {
-	Place   *dispatch.Place // nil for a refusal
-	Refusal dispatch.Refuse
+	Placement *dispatch.Place // nil for a refusal
+	Refusal   dispatch.Refuse
 }
 
 // Ticket is one request's place in the control state.
--- a/internal/request/forward/count.go
+++ b/internal/request/forward/counters.go
@@ -10,20 +10,20 @@
 )
 
 type counters struct {
-	reg                                                                                 metrics.Registry
-	arrived, answered, opened, resumed, repeated, broken, shed, held, withdrawn, looked metrics.Counter
-	leavingHeard, backoffHeard                                                          metrics.Counter
-	first, decision                                                                     metrics.Timer
+	reg                                                                                              metrics.Registry
+	arrived, answered, opened, resumed, repeated, broken, shed, quarantined, withdrawn, healthChecks metrics.Counter
+	leavingNotices, backoffNotices                                                                   metrics.Counter
+	firstEvent, decision                                                                             metrics.Timer
 }
 
 func newCounters(reg metrics.Registry) counters {
 	c := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("forward."+name, reg) }
 	return counters{
 		reg: reg, arrived: c("arrived"), answered: c("answered"), opened: c("connections"), resumed: c("resumed"),
-		repeated: c("repeated"), broken: c("broken"), shed: c("shed"), held: c("held"), withdrawn: c("withdrawn"), looked: c("looked"),
-		leavingHeard: c("notices.leaving"), backoffHeard: c("notices.backoff"),
-		first:    metrics.GetOrRegisterTimer("forward.first", reg),
-		decision: metrics.GetOrRegisterTimer("forward.decision", reg),
+		repeated: c("repeated"), broken: c("broken"), shed: c("shed"), quarantined: c("held"), withdrawn: c("withdrawn"), healthChecks: c("looked"),
+		leavingNotices: c("notices.leaving"), backoffNotices: c("notices.backoff"),
+		firstEvent: metrics.GetOrRegisterTimer("forward.first", reg),
+		decision:   metrics.GetOrRegisterTimer("forward.decision", reg),
 	}
 }
 
@@ -32,12 +32,12 @@
 }
 
 // logEnd writes the line of a request's end without an answer.
-func (v *visit) logEnd(f failure) {
-	e := v.s.lines.failure()
+func (v *callerRequest) logEnd(f failure) {
+	e := v.s.reqLog.failure()
 	if e == nil {
 		return
 	}
-	v.fields(e, f.up)
+	v.addRequestFields(e, f.upstream)
 	if f.err != nil {
 		e.AnErr("cause", f.err)
 	}
@@ -47,15 +47,15 @@
 	if f.crashes > 0 {
 		e.Stringer("fingerprint", v.fingerprint()).Int("crashes", f.crashes)
 	}
-	if f.after > 0 {
-		e.Int64("come_back_ms", f.after.Milliseconds())
+	if f.retryAfter > 0 {
+		e.Int64("come_back_ms", f.retryAfter.Milliseconds())
 	}
 	e.Int("status", f.status).Str("reason", f.reason).Msg("request-failed")
 }
 
 // fields are what every line about a request tells: its id, the inputs that were
 // decided on, and their version.
-func (v *visit) fields(e *zerolog.Event, up string) {
+func (v *callerRequest) addRequestFields(e *zerolog.Event, up string) {
 	e.Str("request", v.id).Str("organisation", v.org).Int64("after_ms", v.s.clock.Since(v.arrived).Milliseconds())
 	if v.route != nil {
 		e.Str("route", v.route.Name).Int64("time_ms", v.deadline.Sub(v.arrived).Milliseconds())
@@ -68,8 +68,8 @@
 	}
 }
 
-// placeFields are what a decision rested on.
-func placeFields(e *zerolog.Event, p *dispatch.Place) {
+// addPlacementFields are what a decision rested on.
+func addPlacementFields(e *zerolog.Event, p *dispatch.Place) {
 	e.Str("by", string(p.By)).Int("wait_ms", p.WaitMS).Int("own_ms", p.OwnMS).Int("work", p.Work).Uint64("revision", p.Revision)
 	if p.Source != "" {
 		e.Str("source", p.Source)
--- a/internal/request/forward/dialect.go
+++ b/internal/request/forward/dialect.go
@@ -33,11 +33,11 @@
 	RouterOnly     []string // other headers that only a router may set
 }
 
-// headerLastEvent is the position after which a caller wants a stream.
-const headerLastEvent = "Last-Event-Id"
+// headerLastEventID is the position after which a caller wants a stream.
+const headerLastEventID = "Last-Event-Id"
 
-// perConnection are headers that concern one connection only (RFC 9110, 7.6.1).
-var perConnection = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
+// hopByHopHeaders are headers that concern one connection only (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
 // copyEndToEnd copies headers but those of one connection, which the Connection
 // header may name more of.
@@ -50,7 +50,7 @@
 			to.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		to.Del(name)
 	}
 }
@@ -83,8 +83,8 @@
 	maxParts = 64
 	// maxTokens bounds a count of tokens from outside.
 	maxTokens = 100_000_000
-	// hintedShare is the part of the most output that is expected without a hint.
-	hintedShare = 0.5
+	// unhintedOutputRatio is the part of the most output that is expected without a hint.
+	unhintedOutputRatio = 0.5
 )
 
 // readPrompt reads the headers. What is malformed is left out: it is the
@@ -92,15 +92,15 @@
 func (d *Dialect) readPrompt(h http.Header) prompt {
 	var p prompt
 	in, out, _ := strings.Cut(h.Get(d.TokenUsage), ",")
-	p.input = tokens(in)
-	p.output = int(hintedShare * float64(tokens(out)))
-	if hint := tokens(h.Get(d.LengthHint)); hint > 0 {
+	p.input = parseTokenCount(in)
+	p.output = int(unhintedOutputRatio * float64(parseTokenCount(out)))
+	if hint := parseTokenCount(h.Get(d.LengthHint)); hint > 0 {
 		p.output = hint
 	}
 	sum := 0
 	for _, text := range strings.Split(h.Get(d.PromptParts), ",") {
 		id, count, ok := strings.Cut(strings.TrimSpace(text), ":")
-		n := tokens(count)
+		n := parseTokenCount(count)
 		if !ok || n == 0 || len(p.parts) >= maxParts {
 			break
 		}
@@ -114,7 +114,7 @@
 // PartID is the number of a prompt part's name inside the fleet.
 func PartID(name string) uint64 { return xxhash.Sum64String(name) }
 
-func tokens(text string) int {
+func parseTokenCount(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 || n > maxTokens {
 		return 0
--- a/internal/request/forward/failure.go
+++ b/internal/request/forward/failure.go
@@ -11,24 +11,24 @@
 // failure is an outcome without an answer. Status 503, 429, 408 and 421 promise
 // that the request has not run and will not; 502 and 504 promise nothing.
 type failure struct {
-	status int
-	reason string
-	after  time.Duration // when to come back, 0 to leave it open
-	err    error
-	up     string // the last upstream
+	status     int
+	reason     string
+	retryAfter time.Duration // when to come back, 0 to leave it open
+	err        error
+	upstream   string // the last upstream
 
 	refusal *dispatch.Refuse // the decision that refused, for the log
 	crashes int              // of upstreams that are set down to the request
 }
 
 // fail tells the caller. It must be called before any of an answer was sent.
-func (v *visit) fail(f failure) {
+func (v *callerRequest) fail(f failure) {
 	h := v.w.Header()
 	if v.id != "" {
-		h.Set(v.s.names.RequestID, v.id)
+		h.Set(v.s.dialect.RequestID, v.id)
 	}
-	if f.after > 0 {
-		h.Set(headerRetryAfter, strconv.FormatFloat(f.after.Seconds(), 'f', 3, 64))
+	if f.retryAfter > 0 {
+		h.Set(headerRetryAfter, strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	body := f.reason + "\n"
 	h.Set("Content-Type", "text/plain; charset=utf-8")
@@ -44,7 +44,7 @@
 
 // notRun is a refusal that is true: nothing of the request ran.
 func notRun(reason string, after time.Duration) failure {
-	return failure{status: http.StatusServiceUnavailable, reason: reason, after: after}
+	return failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: after}
 }
 
 // inDoubt is the end of a request that may have run.
@@ -53,5 +53,5 @@
 	if timedOut {
 		status = http.StatusGatewayTimeout
 	}
-	return failure{status: status, reason: reason, up: up, err: err}
+	return failure{status: status, reason: reason, upstream: up, err: err}
 }
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	up, got := script(t, okHello)
-	r := newRig(t, up)
+	up, got := scriptedUpstream(t, okHelloAnswer)
+	r := newHarness(t, up)
 	res, body, err := r.do(t, "POST", "/once/a%2Fb?q=1", "text", "X-Org", "forged", "X-Router-Only", "forged", "X-Other", "kept", "X-Left-Ms", "900")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
@@ -31,11 +31,11 @@
 	assert.Equal(t, "kept", q.Header.Get("X-Other"))
 	assert.Equal(t, "i-0", q.Header.Get("X-Expect"))
 	assert.Less(t, len(q.Header.Get("X-Left-Ms")), 4, "what is left, not more than the caller gave")
-	assert.Equal(t, []uint8{wire.NoteDone}, r.ctl.noted())
+	assert.Equal(t, []uint8{wire.NoteDone}, r.control.recordedNotes())
 }
 
 func TestRefusalsFromHeaders(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	cases := []struct {
 		path, key string
 		status    int
@@ -54,7 +54,7 @@
 	res, _, err := r.do(t, "POST", "/once/x", strings.Repeat("x", 1001))
 	require.NoError(t, err)
 	assert.Equal(t, 413, res.StatusCode)
-	r.ctl.table = nil
+	r.control.table = nil
 	res, _, err = r.do(t, "POST", "/once/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, 503, res.StatusCode, "a router without a table promises that nothing ran")
@@ -62,23 +62,23 @@
 }
 
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	res, _, err := r.do(t, "POST", "/stream/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, 503, res.StatusCode)
 	assert.Equal(t, "0.300", res.Header.Get("Retry-After"))
 }
 
-func TestWhatMayRunOnceIsNotSentAgain(t *testing.T) {
+func TestAtMostOnceRequestIsNotResent(t *testing.T) {
 	for name, answer := range map[string]string{
 		"cut before the answer": "\x00",
-		"cut inside the answer": okHead + "Content-Length: 5\r\n\r\nhel\x00",
+		"cut inside the answer": okHeader + "Content-Length: 5\r\n\r\nhel\x00",
 		"no proof":              "HTTP/1.1 200 OK\r\nX-Id: %ID\r\nContent-Length: 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, _ := script(t, answer)
-			b, gotB := script(t, okHello)
-			r := newRig(t, a, b)
+			a, _ := scriptedUpstream(t, answer)
+			b, gotB := scriptedUpstream(t, okHelloAnswer)
+			r := newHarness(t, a, b)
 			res, _, err := r.do(t, "POST", "/once/x", "body")
 			require.NoError(t, err)
 			assert.Equal(t, 502, res.StatusCode, "it may have run: no promise")
@@ -87,28 +87,28 @@
 	}
 }
 
-func TestNotRunByTheUpstreamIsTriedElsewhere(t *testing.T) {
-	a, _ := script(t, notRunHead)
-	b, _ := script(t, okHello)
-	r := newRig(t, a, b)
+func TestRequestNotRunByUpstreamIsRetriedElsewhere(t *testing.T) {
+	a, _ := scriptedUpstream(t, notRunAnswer)
+	b, _ := scriptedUpstream(t, okHelloAnswer)
+	r := newHarness(t, a, b)
 	res, body, err := r.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "hello", body)
 }
 
-func TestNotRunAnywhereIsAPromise(t *testing.T) {
-	a, _ := script(t, notRunHead)
-	r := newRig(t, a)
+func TestRequestNotRunAnywhereGets503(t *testing.T) {
+	a, _ := scriptedUpstream(t, notRunAnswer)
+	r := newHarness(t, a)
 	res, _, err := r.do(t, "POST", "/single/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 503, res.StatusCode)
 	assert.NotEmpty(t, res.Header.Get("Retry-After"))
 }
 
-func TestRefusalAfterARunIsNoPromise(t *testing.T) {
-	a, _ := script(t, "\x00")
-	r := newRig(t, a)
+func TestRefusalAfterPossibleRunGets502(t *testing.T) {
+	a, _ := scriptedUpstream(t, "\x00")
+	r := newHarness(t, a)
 	res, _, err := r.do(t, "GET", "/safe/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, 502, res.StatusCode)
@@ -117,18 +117,18 @@
 // An upstream ran an order and answered 503 with its proof, without the header that says it
 // did not run it. Passed on, that status promised the caller that the order never ran, and
 // the caller placed it again.
-func TestUpstreamsOwnRefusalIsNoPromiseWhereTheRequestMayHaveRun(t *testing.T) {
+func TestUpstreamStatusMeaningNotRunIsReplacedUnlessProven(t *testing.T) {
 	for _, status := range []string{"429 Too Many Requests", "503 Service Unavailable", "408 Request Timeout"} {
 		answer := "HTTP/1.1 " + status + "\r\nX-Id: %ID\r\nX-Proof: p\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\nno"
-		up, _ := script(t, answer)
-		res, _, err := newRig(t, up).do(t, "POST", "/once/x", "body")
+		up, _ := scriptedUpstream(t, answer)
+		res, _, err := newHarness(t, up).do(t, "POST", "/once/x", "body")
 		require.NoError(t, err)
 		assert.Equal(t, 502, res.StatusCode, status)
 		assert.Empty(t, res.Header.Get("X-Proof"), "the status is not the upstream's")
 		assert.Empty(t, res.Header.Get("Retry-After"))
 
-		safe, _ := script(t, answer)
-		res, body, err := newRig(t, safe).do(t, "GET", "/safe/x", "")
+		safe, _ := scriptedUpstream(t, answer)
+		res, body, err := newHarness(t, safe).do(t, "GET", "/safe/x", "")
 		require.NoError(t, err)
 		if status[:3] != "503" { // which is tried elsewhere
 			assert.Equal(t, status[:3], res.Status[:3], "a request that may be repeated gets the answer as it is")
@@ -137,17 +137,17 @@
 	}
 }
 
-func TestIdempotentRequestsAreRepeated(t *testing.T) {
+func TestIdempotentRequestsAreRetried(t *testing.T) {
 	for name, answer := range map[string]string{
 		"cut":     "\x00",
 		"failed":  "HTTP/1.1 500 Oops\r\nX-Id: %ID\r\nX-Proof: p\r\nContent-Length: 0\r\n\r\n",
-		"encoded": okHead + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nxx",
+		"encoded": okHeader + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nxx",
 		"silent":  "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, _ := script(t, answer)
-			b, _ := script(t, okHello)
-			r := newRig(t, a, b)
+			a, _ := scriptedUpstream(t, answer)
+			b, _ := scriptedUpstream(t, okHelloAnswer)
+			r := newHarness(t, a, b)
 			res, body, err := r.do(t, "GET", "/safe/x", "")
 			require.NoError(t, err)
 			assert.Equal(t, 200, res.StatusCode)
@@ -156,21 +156,21 @@
 	}
 }
 
-func TestLateAnswerOfAFormerRequestIsSkipped(t *testing.T) {
-	late := strings.ReplaceAll(okHello, "%ID", "another")
-	a, _ := script(t, late+okHead+"Content-Length: 4\r\n\r\nmine")
-	r := newRig(t, a)
+func TestLateAnswerToEarlierRequestIsSkipped(t *testing.T) {
+	late := strings.ReplaceAll(okHelloAnswer, "%ID", "another")
+	a, _ := scriptedUpstream(t, late+okHeader+"Content-Length: 4\r\n\r\nmine")
+	r := newHarness(t, a)
 	res, body, err := r.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "mine", body)
 }
 
-func TestStreamIsResumedAtItsExactPosition(t *testing.T) {
+func TestStreamIsResumedAtExactPosition(t *testing.T) {
 	torn := "8\r\nid: 3\nda\r\n"
-	a, _ := script(t, events+event(1)+event(2)+torn+"\x00")
-	b, got := script(t, events+event(2)+event(3)+event(4)+chunkEnd)
-	r := newRig(t, a, b)
+	a, _ := scriptedUpstream(t, eventStreamHeader+eventChunk(1)+eventChunk(2)+torn+"\x00")
+	b, got := scriptedUpstream(t, eventStreamHeader+eventChunk(2)+eventChunk(3)+eventChunk(4)+lastChunk)
+	r := newHarness(t, a, b)
 	res, body, err := r.do(t, "POST", "/stream/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
@@ -183,15 +183,15 @@
 func TestStreamThatCannotBeResumedIsCut(t *testing.T) {
 	for name, second := range map[string]string{
 		"status 500":   "HTTP/1.1 500 Oops\r\nX-Id: %ID\r\nX-Proof: p\r\nContent-Length: 4\r\n\r\noops",
-		"not a stream": okHello,
-		"missing":      events + event(4) + chunkEnd,
-		"not run":      notRunHead,
-		"cut again":    events + event(3) + "\x00",
+		"not a stream": okHelloAnswer,
+		"missing":      eventStreamHeader + eventChunk(4) + lastChunk,
+		"not run":      notRunAnswer,
+		"cut again":    eventStreamHeader + eventChunk(3) + "\x00",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, _ := script(t, events+event(1)+event(2)+"\x00")
-			b, _ := script(t, second)
-			r := newRig(t, a, b)
+			a, _ := scriptedUpstream(t, eventStreamHeader+eventChunk(1)+eventChunk(2)+"\x00")
+			b, _ := scriptedUpstream(t, second)
+			r := newHarness(t, a, b)
 			_, body, err := r.do(t, "POST", "/stream/x", "body")
 			assert.Error(t, err, "the caller must see that the answer is not whole")
 			assert.NotContains(t, body, "oops")
@@ -201,24 +201,24 @@
 }
 
 func TestStreamThatMayNotBeResumedIsCut(t *testing.T) {
-	a, _ := script(t, events+event(1)+"\x00")
-	b, gotB := script(t, events+event(2)+chunkEnd)
-	r := newRig(t, a, b)
+	a, _ := scriptedUpstream(t, eventStreamHeader+eventChunk(1)+"\x00")
+	b, gotB := scriptedUpstream(t, eventStreamHeader+eventChunk(2)+lastChunk)
+	r := newHarness(t, a, b)
 	_, body, err := r.do(t, "POST", "/single/x", "body")
 	assert.Error(t, err)
 	assert.Equal(t, "id: 1\ndata: e1\n\n", body)
 	assert.Empty(t, gotB())
 }
 
-func TestTimeIsUpMeansAnAnswerAtOnce(t *testing.T) {
-	a, _ := script(t, "")
-	r := newRig(t, a)
+func TestExpiredDeadlineIsAnsweredAtOnce(t *testing.T) {
+	a, _ := scriptedUpstream(t, "")
+	r := newHarness(t, a)
 	res, _, err := r.do(t, "POST", "/once/x", "body", "X-Left-Ms", "100")
 	require.NoError(t, err)
 	assert.Equal(t, 504, res.StatusCode)
 }
 
-func TestCallerThatLeavesEndsTheUpstreamsWork(t *testing.T) {
+func TestDisconnectedCallerEndsUpstreamRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -237,7 +237,7 @@
 		_, _ = io.Copy(io.Discard, br) // until the router closes
 		close(ended)
 	}()
-	r := newRig(t, l.Addr().String())
+	r := newHarness(t, l.Addr().String())
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	require.NoError(t, err)
 	_, err = c.Write([]byte("POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Id: r1\r\nAuthorization: Bearer key-a\r\nContent-Length: 0\r\n\r\n"))
@@ -250,9 +250,9 @@
 // A small router that got most of its place's callers took
 // them all, and answered none in time.
 func TestOverloadedRouterRefusesAtOnce(t *testing.T) {
-	a, got := script(t, okHello)
-	r := newRig(t, a)
-	r.ctl.full.Store(true)
+	a, got := scriptedUpstream(t, okHelloAnswer)
+	r := newHarness(t, a)
+	r.control.overloaded.Store(true)
 	refused, atDoor := 0, 0
 	for range 20 {
 		res, body, err := r.do(t, "POST", "/once/x", "body")
@@ -267,10 +267,10 @@
 	}
 	assert.GreaterOrEqual(t, refused, 12)
 	assert.LessOrEqual(t, len(got()), 20-refused)
-	r.ctl.mu.Lock()
-	assert.Len(t, r.ctl.away, atDoor, "each counts as asked for")
-	r.ctl.mu.Unlock()
-	full := newRigOf(t, 0, a)
+	r.control.mu.Lock()
+	assert.Len(t, r.control.shed, atDoor, "each counts as asked for")
+	r.control.mu.Unlock()
+	full := newHarnessWithLimit(t, 0, a)
 	res, _, err := full.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 503, res.StatusCode, "no room for another request")
@@ -289,21 +289,21 @@
 // A request spent a third of a second in
 // a busy router between its placing and its sending, and the upstream's leaving
 // became known meanwhile.
-func TestUpstreamThatLeftBeforeTheSendGetsNothing(t *testing.T) {
-	a, gotA := script(t, okHello)
-	b, gotB := script(t, okHello)
-	r := newRig(t, a, b)
-	r.ctl.left = map[string]bool{"i-0": true}
+func TestNothingIsSentToUpstreamThatLeftBeforeSend(t *testing.T) {
+	a, gotA := scriptedUpstream(t, okHelloAnswer)
+	b, gotB := scriptedUpstream(t, okHelloAnswer)
+	r := newHarness(t, a, b)
+	r.control.leftInstances = map[string]bool{"i-0": true}
 	res, body, err := r.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "hello", body)
 	assert.Empty(t, gotA())
 	assert.Len(t, gotB(), 1)
-	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.ctl.noted())
+	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.control.recordedNotes())
 
-	gone := newRig(t, a, a, a, a, a)
-	gone.ctl.left = map[string]bool{"i-0": true, "i-1": true, "i-2": true, "i-3": true, "i-4": true}
+	gone := newHarness(t, a, a, a, a, a)
+	gone.control.leftInstances = map[string]bool{"i-0": true, "i-1": true, "i-2": true, "i-3": true, "i-4": true}
 	res, _, err = gone.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 503, res.StatusCode, "nothing was sent: the refusal is true")
--- a/internal/request/forward/rig_test.go
+++ b/internal/request/forward/harness_test.go
@@ -31,56 +31,56 @@
 	RouterOnly: []string{"X-Router-Only"},
 }
 
-// lookedAt is a look that kept a request from an upstream.
-type lookedAt struct {
+// failedHealthCheck is a look that kept a request from an upstream.
+type failedHealthCheck struct {
 	id      string
 	coldFor time.Duration
 }
 
-// askedBackoff is a time for which an upstream wanted nothing.
-type askedBackoff struct {
+// reportedBackoff is a time for which an upstream wanted nothing.
+type reportedBackoff struct {
 	start string
 	d     time.Duration
 }
 
 // fakeControl places requests at its upstreams in order, then refuses.
 type fakeControl struct {
-	mu    sync.Mutex
-	table *routing.Table
-	ups   []string
-	next  int
-	notes []uint8
-	leave atomic.Bool
-	full  atomic.Bool // excess of nine in ten
-	away  []dispatch.TurnedWork
-	left  map[string]bool // instances that have left
-
-	known    map[fingerprint.Fingerprint]quarantine.State
-	broke    []dispatch.Broke
-	refusing []string // instances that refused connections
-	whole    []fingerprint.Fingerprint
-	onAgain  func() // called before another upstream is given; may be nil
-	looked   []lookedAt
-	rests    []askedBackoff
-	leavers  []string // starts that said that they leave
-	look     bool     // upstreams are to be looked at first
-	slow     bool     // no other upstream is given
+	mu            sync.Mutex
+	table         *routing.Table
+	ups           []string
+	next          int
+	notes         []uint8
+	stopping      atomic.Bool
+	overloaded    atomic.Bool // excess of nine in ten
+	shed          []dispatch.TurnedWork
+	leftInstances map[string]bool // instances that have left
+
+	quarantinedRequests map[fingerprint.Fingerprint]quarantine.State
+	broke               []dispatch.Broke
+	refusedConnections  []string // instances that refused connections
+	answeredWhole       []fingerprint.Fingerprint
+	onAgain             func() // called before another upstream is given; may be nil
+	looked              []failedHealthCheck
+	backoffs            []reportedBackoff
+	leavingStarts       []string // starts that said that they leave
+	healthCheckFirst    bool     // upstreams are to be looked at first
+	neverPlaceAgain     bool     // no other upstream is given
 }
 
 func (c *fakeControl) Table() *routing.Table { return c.table }
-func (c *fakeControl) Leaving() bool         { return c.leave.Load() }
+func (c *fakeControl) Leaving() bool         { return c.stopping.Load() }
 
-func (c *fakeControl) Excess() float64 {
-	if c.full.Load() {
+func (c *fakeControl) ShedRatio() float64 {
+	if c.overloaded.Load() {
 		return 0.9
 	}
 	return 0
 }
 
-func (c *fakeControl) Covered(string, string) float64 { return 1 }
+func (c *fakeControl) AdmitRatio(string, string) float64 { return 1 }
 
 func (c *fakeControl) Unusable(p *dispatch.Place) Unusable {
-	if c.left[p.Instance.ID] {
+	if c.leftInstances[p.Instance.ID] {
 		return UpstreamLeft
 	}
 	return MaySend
@@ -89,25 +89,25 @@
 func (c *fakeControl) Looked(i routing.Instance, coldFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = append(c.looked, lookedAt{i.ID, coldFor})
+	c.looked = append(c.looked, failedHealthCheck{i.ID, coldFor})
 }
 
 func (c *fakeControl) UpstreamLeaves(start string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leavers = append(c.leavers, start)
+	c.leavingStarts = append(c.leavingStarts, start)
 }
 
 func (c *fakeControl) UpstreamBacksOff(start string, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rests = append(c.rests, askedBackoff{start, d})
+	c.backoffs = append(c.backoffs, reportedBackoff{start, d})
 }
 
 func (c *fakeControl) Quarantined(string) map[fingerprint.Fingerprint]quarantine.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known
+	return c.quarantinedRequests
 }
 
 func (c *fakeControl) Broke(b dispatch.Broke) {
@@ -119,19 +119,19 @@
 func (c *fakeControl) ConnRefused(i routing.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refusing = append(c.refusing, i.ID)
+	c.refusedConnections = append(c.refusedConnections, i.ID)
 }
 
 func (c *fakeControl) AnsweredWhole(f fingerprint.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.whole = append(c.whole, f)
+	c.answeredWhole = append(c.answeredWhole, f)
 }
 
-func (c *fakeControl) TurnedAway(w dispatch.TurnedWork) {
+func (c *fakeControl) RequestShed(w dispatch.TurnedWork) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.away = append(c.away, w)
+	c.shed = append(c.shed, w)
 }
 
 func (c *fakeControl) Submit(dispatch.Request) *Ticket {
@@ -149,30 +149,30 @@
 	}
 	i := routing.Instance{ID: fmt.Sprintf("i-%d", c.next), Address: c.ups[c.next]}
 	c.next++
-	t.Decide(Decision{Place: &dispatch.Place{ID: t.ID, Instance: i, Look: c.look}})
+	t.Decide(Decision{Placement: &dispatch.Place{ID: t.ID, Instance: i, Look: c.healthCheckFirst}})
 }
 
 func (c *fakeControl) Again(t *Ticket, note uint8) {
-	c.note(note)
+	c.recordNote(note)
 	if c.onAgain != nil {
 		c.onAgain()
 	}
-	if !c.slow {
+	if !c.neverPlaceAgain {
 		c.decide(t)
 	}
 }
 
 func (c *fakeControl) First(*Ticket, time.Duration) {}
 
-func (c *fakeControl) End(_ *Ticket, note uint8) { c.note(note) }
+func (c *fakeControl) End(_ *Ticket, note uint8) { c.recordNote(note) }
 
-func (c *fakeControl) note(n uint8) {
+func (c *fakeControl) recordNote(n uint8) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notes = append(c.notes, n)
 }
 
-func (c *fakeControl) noted() []uint8 {
+func (c *fakeControl) recordedNotes() []uint8 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]uint8(nil), c.notes...)
@@ -201,7 +201,7 @@
 
 // script is an upstream that answers each connection's requests with raw bytes;
 // %ID is the request's id. An answer ending in "\x00" cuts the connection.
-func script(t *testing.T, answers ...string) (addr string, got func() []*http.Request) {
+func scriptedUpstream(t *testing.T, answers ...string) (addr string, got func() []*http.Request) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -251,14 +251,14 @@
 }
 
 const (
-	okHead     = "HTTP/1.1 200 OK\r\nX-Id: %ID\r\nX-Proof: p\r\n"
-	okHello    = okHead + "Content-Length: 5\r\n\r\nhello"
-	notRunHead = "HTTP/1.1 503 Service Unavailable\r\nX-Id: %ID\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-	events     = okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	chunkEnd   = "0\r\n\r\n"
+	okHeader          = "HTTP/1.1 200 OK\r\nX-Id: %ID\r\nX-Proof: p\r\n"
+	okHelloAnswer     = okHeader + "Content-Length: 5\r\n\r\nhello"
+	notRunAnswer      = "HTTP/1.1 503 Service Unavailable\r\nX-Id: %ID\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	eventStreamHeader = okHeader + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	lastChunk         = "0\r\n\r\n"
 )
 
-func event(n int) string {
+func eventChunk(n int) string {
 	text := fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 }
@@ -271,32 +271,32 @@
 }
 
 // rig is a server under test in front of scripted upstreams.
-type rig struct {
-	ctl *fakeControl
-	url string
-	ex  *conn.Exchanges
+type harness struct {
+	control   *fakeControl
+	url       string
+	exchanges *conn.Exchanges
 
 	server *Server
 
-	most int
+	maxRequests int
 }
 
-func newRig(t *testing.T, ups ...string) *rig {
+func newHarness(t *testing.T, ups ...string) *harness {
 	t.Helper()
-	return newRigOf(t, 100, ups...)
+	return newHarnessWithLimit(t, 100, ups...)
 }
 
-func newRigOf(t *testing.T, most int, ups ...string) *rig {
+func newHarnessWithLimit(t *testing.T, most int, ups ...string) *harness {
 	t.Helper()
-	r := &rig{ctl: &fakeControl{table: testTable(t), ups: ups}, ex: conn.NewExchanges(), most: most}
-	r.server = NewServer(r.ctl, r.ex, testDialect, testKey(t), Bounds{Requests: r.most, Answers: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
+	r := &harness{control: &fakeControl{table: testTable(t), ups: ups}, exchanges: conn.NewExchanges(), maxRequests: most}
+	r.server = NewServer(r.control, r.exchanges, testDialect, testKey(t), Limits{MaxRequests: r.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
 	s := httptest.NewServer(r.server)
-	t.Cleanup(func() { s.Close(); r.ex.Close() })
+	t.Cleanup(func() { s.Close(); r.exchanges.Close() })
 	r.url = s.URL
 	return r
 }
 
-func (r *rig) do(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
+func (r *harness) do(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
 	require.NoError(t, err)
--- a/internal/request/forward/look_test.go
+++ b/internal/request/forward/healthcheck_test.go
@@ -10,44 +10,44 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const healthyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // A router that is cut off asks an upstream's health before it sends a request there.
-func TestColdUpstreamIsPassedOverByItsHealth(t *testing.T) {
-	cold, gotCold := script(t, "HTTP/1.1 503 Busy\r\nX-Cold: 1500\r\nContent-Length: 0\r\n\r\n")
-	warm, gotWarm := script(t, healthy, okHello)
-	r := newRig(t, cold, warm)
-	r.ctl.look = true
+func TestColdUpstreamIsSkippedAfterHealthCheck(t *testing.T) {
+	cold, gotCold := scriptedUpstream(t, "HTTP/1.1 503 Busy\r\nX-Cold: 1500\r\nContent-Length: 0\r\n\r\n")
+	warm, gotWarm := scriptedUpstream(t, healthyAnswer, okHelloAnswer)
+	r := newHarness(t, cold, warm)
+	r.control.healthCheckFirst = true
 	res, body, err := r.do(t, "POST", "/once/x", "text")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "hello", body)
-	assert.Equal(t, []lookedAt{{"i-0", 1500 * time.Millisecond}}, r.ctl.looked)
-	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.ctl.noted(), "nothing was sent there, so it is no repeat")
+	assert.Equal(t, []failedHealthCheck{{"i-0", 1500 * time.Millisecond}}, r.control.looked)
+	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.control.recordedNotes(), "nothing was sent there, so it is no repeat")
 	require.Len(t, gotCold(), 1)
 	assert.Equal(t, "/health", gotCold()[0].RequestURI)
 	require.Len(t, gotWarm(), 2)
 	assert.Equal(t, "/health", gotWarm()[0].RequestURI)
 }
 
-func TestUpstreamWhoseHealthIsNotReachedIsPassedOver(t *testing.T) {
-	mute, _ := script(t, "\x00")
-	warm, _ := script(t, healthy, okHello)
-	r := newRig(t, mute, warm)
-	r.ctl.look = true
+func TestUnreachableUpstreamIsSkippedAfterHealthCheck(t *testing.T) {
+	mute, _ := scriptedUpstream(t, "\x00")
+	warm, _ := scriptedUpstream(t, healthyAnswer, okHelloAnswer)
+	r := newHarness(t, mute, warm)
+	r.control.healthCheckFirst = true
 	res, _, err := r.do(t, "POST", "/once/x", "text")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
-	assert.Equal(t, []lookedAt{{"i-0", 0}}, r.ctl.looked)
+	assert.Equal(t, []failedHealthCheck{{"i-0", 0}}, r.control.looked)
 }
 
 // One look serves the requests of half a second.
-func TestLookHoldsForAWhile(t *testing.T) {
-	up, got := script(t, healthy, okHello, okHello)
-	r := newRig(t, up, up)
-	r.ctl.look = true
+func TestHealthCheckIsReused(t *testing.T) {
+	up, got := scriptedUpstream(t, healthyAnswer, okHelloAnswer, okHelloAnswer)
+	r := newHarness(t, up, up)
+	r.control.healthCheckFirst = true
 	for range 2 {
-		r.ctl.next = 0
+		r.control.next = 0
 		res, _, err := r.do(t, "POST", "/once/x", "text")
 		require.NoError(t, err)
 		assert.Equal(t, 200, res.StatusCode)
@@ -55,7 +55,7 @@
 	assert.Len(t, got(), 3)
 }
 
-func TestColdTimesThatCannotBeReadSayNothing(t *testing.T) {
+func TestMalformedColdTimesAreIgnored(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "x": 0, "-1": 0, "NaN": 0, "1e300": time.Minute, "12.5": 12500 * time.Microsecond} {
 		h := map[string][]string{"X-Cold": {text}}
 		assert.Equal(t, want, testDialect.coldFor(h), text)
--- a/internal/request/forward/door_test.go
+++ b/internal/request/forward/loadshedder_test.go
@@ -9,8 +9,8 @@
 
 // One organisation's flood overloaded a router, and
 // the router refused everyone there alike.
-func TestFloodIsRefusedBeforeOthers(t *testing.T) {
-	d := newDoor()
+func TestFloodingOrganisationIsShedFirst(t *testing.T) {
+	d := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
 	const part = 0.5 // of everything is to go
 	refused, sent := map[string]int{}, map[string]int{}
@@ -41,8 +41,8 @@
 // A router asked its scheduler for a place for each of 2,000 requests a second of an
 // organisation whose share covered 25, and read the answers too late. What shares do not
 // cover goes first; if that is enough nothing else is refused.
-func TestWhatSharesDoNotCoverGoesFirst(t *testing.T) {
-	d := newDoor()
+func TestRequestsBeyondSharesAreShedFirst(t *testing.T) {
+	d := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
 	refused, sent := map[string]int{}, map[string]int{}
 	for i := range 20_000 {
--- a/internal/request/forward/notice_test.go
+++ b/internal/request/forward/notice_test.go
@@ -17,7 +17,7 @@
 		}
 		return &http.Response{StatusCode: status, Header: h}
 	}
-	read := testDialect.noticeOf
+	read := testDialect.readNotice
 	assert.Equal(t, notice{}, read(answer(200)))
 	assert.Equal(t, notice{leaving: true}, read(answer(200, "X-Leaving", "1")))
 	assert.Equal(t, notice{leaving: true}, read(answer(500, "X-Leaving", "1")))
@@ -27,23 +27,23 @@
 	assert.Equal(t, notice{}, read(answer(200, "X-Leaving", "0")))
 }
 
-func TestRestThatCannotBeReadSaysNothing(t *testing.T) {
-	for text, want := range map[string]time.Duration{"": 0, "x": 0, "-1": 0, "0": 0, "NaN": 0, "1e300": mostBackoff, "0.5": 500 * time.Millisecond} {
-		assert.Equal(t, want, retryAfterOf(http.Header{"Retry-After": {text}}), text)
+func TestMalformedRetryAfterIsIgnored(t *testing.T) {
+	for text, want := range map[string]time.Duration{"": 0, "x": 0, "-1": 0, "0": 0, "NaN": 0, "1e300": maxBackoff, "0.5": 500 * time.Millisecond} {
+		assert.Equal(t, want, parseRetryAfter(http.Header{"Retry-After": {text}}), text)
 	}
 }
 
 // Notices on health answers and on refusals were passed over.
-func TestNoticesOfEveryAnswerAreHeard(t *testing.T) {
-	tired, _ := script(t,
+func TestNoticesAreReadFromEveryAnswer(t *testing.T) {
+	tired, _ := scriptedUpstream(t,
 		"HTTP/1.1 200 OK\r\nX-Leaving: 1\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.1 503 Service Unavailable\r\nX-Id: %ID\r\nX-Not-Run: 1\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n")
-	other, _ := script(t, healthy, "HTTP/1.1 200 OK\r\nX-Id: %ID\r\nX-Proof: p\r\nX-Leaving: 1\r\nContent-Length: 5\r\n\r\nhello")
-	r := newRig(t, tired, other)
-	r.ctl.look = true
+	other, _ := scriptedUpstream(t, healthyAnswer, "HTTP/1.1 200 OK\r\nX-Id: %ID\r\nX-Proof: p\r\nX-Leaving: 1\r\nContent-Length: 5\r\n\r\nhello")
+	r := newHarness(t, tired, other)
+	r.control.healthCheckFirst = true
 	res, _, err := r.do(t, "POST", "/once/x", "text")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
-	assert.Equal(t, []string{"i-0", "i-1"}, r.ctl.leavers, "the one by its health, the other by its answer")
-	assert.Equal(t, []askedBackoff{{"i-0", 3 * time.Second}}, r.ctl.rests)
+	assert.Equal(t, []string{"i-0", "i-1"}, r.control.leavingStarts, "the one by its health, the other by its answer")
+	assert.Equal(t, []reportedBackoff{{"i-0", 3 * time.Second}}, r.control.backoffs)
 }
--- a/internal/request/forward/quarantine.go
+++ b/internal/request/forward/quarantine.go
@@ -7,13 +7,13 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// reasonHeld is what the caller of a request is told that crashes upstreams. It is no
+// reasonQuarantined is what the caller of a request is told that crashes upstreams. It is no
 // overload, and the time to come back is that of the next trial.
-const reasonHeld = "crashes-upstreams"
+const reasonQuarantined = "crashes-upstreams"
 
 // crashes returns what is known of the request's content. It needs a fingerprint only
 // when something is known of its organisation's requests.
-func (v *visit) crashes() quarantine.State {
+func (v *callerRequest) crashes() quarantine.State {
 	known := v.s.ctl.Quarantined(v.org)
 	if len(known) == 0 {
 		return quarantine.State{}
@@ -24,26 +24,26 @@
 // held returns the refusal of a request under which upstreams have crashed, or nil. None
 // of it is sent to another one: without this a single request ended 17 upstreams of a
 // service in 82 s.
-func (v *visit) held() *failure {
+func (v *callerRequest) quarantined() *failure {
 	known := v.crashes()
 	left := known.Held(v.s.clock.Now())
 	if left == 0 {
 		return nil
 	}
-	v.s.count.held.Inc(1)
-	end := notRun(reasonHeld, left)
+	v.s.count.quarantined.Inc(1)
+	end := notRun(reasonQuarantined, left)
 	end.crashes = known.Crashes
 	return &end
 }
 
-// endHeld ends a request that came to be held while it waited or ran.
-func (r *run) endHeld(f failure) {
+// endQuarantined ends a request that came to be held while it waited or ran.
+func (r *run) endQuarantined(f failure) {
 	r.s.ctl.End(r.ticket, wire.NoteUnused)
 	switch {
-	case r.begun:
-		r.abort(reasonHeld)
-	case r.ran:
-		r.fail(inDoubt(reasonHeld, false, "", nil))
+	case r.headersSent:
+		r.abort(reasonQuarantined)
+	case r.mayHaveRun:
+		r.fail(inDoubt(reasonQuarantined, false, "", nil))
 	default:
 		r.fail(f)
 	}
@@ -51,12 +51,12 @@
 
 // broke says that the upstream may have run the request and gave no whole answer; early
 // that the answer had not begun.
-func (r *run) broke(p *dispatch.Place, early bool, err error) {
+func (r *run) reportBrokenAttempt(p *dispatch.Place, early bool, err error) {
 	r.s.ctl.Broke(dispatch.Broke{
 		Content:  r.fingerprint(),
 		Org:      r.org,
 		Instance: p.Instance,
-		Began:    r.sent,
+		Began:    r.sentAt,
 		Early:    early,
 		Lost:     r.ctx.Err() == nil && conn.IsLost(err),
 	})
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -19,17 +19,17 @@
 
 // run carries one request through its attempts to its outcome.
 type run struct {
-	*visit
+	*callerRequest
 	ctx      context.Context // ends at the deadline or with the caller
 	ticket   *Ticket
 	attempts int
 
-	withdrawn int   // placements that were given up before the request was sent
-	ran       bool  // an attempt may have run
-	last      int64 // position of the last event passed on, or the caller's own
-	begun     bool  // the answer's headers are sent
+	withdrawn    int   // placements that were given up before the request was sent
+	mayHaveRun   bool  // an attempt may have run
+	lastPosition int64 // position of the last event passed on, or the caller's own
+	headersSent  bool  // the answer's headers are sent
 
-	sent time.Time // of the last attempt, by the server's clock
+	sentAt time.Time // of the last attempt, by the server's clock
 }
 
 // maxWithdrawn bounds the placements of one request that are given up before it is sent:
@@ -41,7 +41,7 @@
 
 const (
 	stepDone  step = iota // the outcome has been told
-	stepAgain             // another upstream is to be tried
+	stepRetry             // another upstream is to be tried
 )
 
 // loop waits for a decision and tries, until there is an outcome.
@@ -55,31 +55,31 @@
 			r.giveUp("no-decision-in-time", "", nil)
 			return
 		}
-		if d.Place == nil {
-			r.refused(d.Refusal)
+		if d.Placement == nil {
+			r.handleRefusal(d.Refusal)
 			return
 		}
-		if f := r.held(); f != nil {
-			r.endHeld(*f)
+		if f := r.quarantined(); f != nil {
+			r.endQuarantined(*f)
 			return
 		}
-		if r.lookFinds(d.Place) && r.withdrawn < maxWithdrawn {
-			r.withdraw(d.Place, HealthSaysNo)
+		if r.failsHealthCheck(d.Placement) && r.withdrawn < maxWithdrawn {
+			r.withdraw(d.Placement, UpstreamNotReady)
 			continue
 		}
 		r.attempts++
-		if r.attempt(d.Place) == stepDone {
+		if r.attempt(d.Placement) == stepDone {
 			return
 		}
 	}
 }
 
 // refused tells a refusal. After an attempt that may have run, it is no promise.
-func (r *run) refused(f dispatch.Refuse) {
+func (r *run) handleRefusal(f dispatch.Refuse) {
 	switch {
-	case r.begun:
+	case r.headersSent:
 		r.abort("not-resumed: " + f.Reason.String())
-	case r.ran:
+	case r.mayHaveRun:
 		r.fail(inDoubt("upstream-failed", false, "", nil))
 	default:
 		end := notRun(f.Reason.String(), f.After)
@@ -93,19 +93,19 @@
 	switch {
 	case r.r.Context().Err() != nil:
 		r.s.count.broken.Inc(1)
-		r.logEnd(failure{reason: "caller-gone", up: up})
+		r.logEnd(failure{reason: "caller-gone", upstream: up})
 		panic(http.ErrAbortHandler)
-	case r.begun:
+	case r.headersSent:
 		r.abort(reason)
-	case r.ran:
+	case r.mayHaveRun:
 		r.fail(inDoubt(reason, true, up, err))
 	default:
-		r.fail(notRun(reason, minComeBack))
+		r.fail(notRun(reason, unsentRetryDelay))
 	}
 }
 
-// minComeBack is when a caller returns whose request was never sent in its time.
-const minComeBack = 200 * time.Millisecond
+// unsentRetryDelay is when a caller returns whose request was never sent in its time.
+const unsentRetryDelay = 200 * time.Millisecond
 
 // abort cuts an answer that has begun, so that it cannot look whole.
 func (r *run) abort(reason string) {
@@ -121,43 +121,43 @@
 	defer span.End()
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	silence := newWatchdog(func() { stop(conn.ErrSilence) }, r.firstLimit(p))
+	silence := newWatchdog(func() { stop(conn.ErrSilence) }, r.firstEventTimeout(p))
 	defer silence.stop()
 	began := time.Now()
-	r.sent = r.s.clock.Now()
+	r.sentAt = r.s.clock.Now()
 	m := r.message(p)
 	m.Began = silence.watch
-	x, err := r.s.ups.Send(ctx, p.Instance.Address, m, r.isOwn)
+	x, err := r.s.ups.Send(ctx, p.Instance.Address, m, r.isOwnAnswer)
 	if err != nil {
 		return r.sendFailed(p, err)
 	}
-	a := &answer{run: r, place: p, x: x, began: began, silence: silence, attempt: ctx}
+	a := &answer{run: r, placement: p, exchange: x, began: began, silence: silence, attempt: ctx}
 	return a.deliver()
 }
 
-// firstLimit is how long an upstream may be silent before its answer begins when
+// firstEventTimeout is how long an upstream may be silent before its answer begins when
 // the request may be sent elsewhere; 0 is no limit. By then the answer is late
 // where it is; a shorter limit would end work that a busy upstream, or this
 // router, is merely slow with.
-func (r *run) firstLimit(p *dispatch.Place) time.Duration {
+func (r *run) firstEventTimeout(p *dispatch.Place) time.Duration {
 	if !r.mayRepeat() {
 		return 0
 	}
 	if r.route.Kind == routing.Stream {
 		expect := time.Duration(p.WaitMS) * time.Millisecond
-		return max(firstTargets*r.route.Target, firstWaits*expect+firstSlack)
+		return max(firstEventTargetFactor*r.route.Target, firstEventWaitFactor*expect+firstEventSlack)
 	}
-	return max(firstTargets*r.route.Target, plainFirst)
+	return max(firstEventTargetFactor*r.route.Target, minPlainAnswerTimeout)
 }
 
 const (
-	// firstTargets and firstWaits are in times of the route's target, and of the
-	// expected wait at an engine; firstSlack comes on top of the latter.
-	firstTargets = 2
-	firstWaits   = 4
-	firstSlack   = 600 * time.Millisecond
-	// plainFirst is the least silence of a plain service that counts as a fault.
-	plainFirst = 300 * time.Millisecond
+	// firstEventTargetFactor and firstEventWaitFactor are in times of the route's target, and of the
+	// expected wait at an engine; firstEventSlack comes on top of the latter.
+	firstEventTargetFactor = 2
+	firstEventWaitFactor   = 4
+	firstEventSlack        = 600 * time.Millisecond
+	// minPlainAnswerTimeout is the least silence of a plain service that counts as a fault.
+	minPlainAnswerTimeout = 300 * time.Millisecond
 )
 
 func (r *run) mayRepeat() bool {
@@ -166,7 +166,7 @@
 
 // message builds what is sent to an upstream.
 func (r *run) message(p *dispatch.Place) *conn.Message {
-	n := &r.s.names
+	n := &r.s.dialect
 	h := n.upstreamHeader(r.r.Header)
 	h.Set(n.ExpectInstance, p.Instance.ID)
 	h.Set(n.Deadline, strconv.FormatInt(max(1, r.s.clock.Until(r.deadline).Milliseconds()), 10))
@@ -176,26 +176,26 @@
 	if p.Source != "" {
 		h.Set(n.CacheSource, p.Source)
 	}
-	if r.begun && r.last > 0 {
-		h.Set(headerLastEvent, strconv.FormatInt(r.last, 10))
+	if r.headersSent && r.lastPosition > 0 {
+		h.Set(headerLastEventID, strconv.FormatInt(r.lastPosition, 10))
 	}
 	return &conn.Message{Method: r.r.Method, Target: r.r.RequestURI, Host: r.r.Host, Header: h, Body: r.body,
 		Wanted: func() bool { return r.s.ctl.Unusable(p) == MaySend }, Owner: p.Instance.Start()}
 }
 
-// isOwn tells the own answer from late ones to former requests.
-func (r *run) isOwn(res *http.Response) bool {
-	id := res.Header.Get(r.s.names.RequestID)
-	return r.id == "" || id == r.id || id == "" && res.Header.Get(r.s.names.Proof) == ""
+// isOwnAnswer tells the own answer from late ones to former requests.
+func (r *run) isOwnAnswer(res *http.Response) bool {
+	id := res.Header.Get(r.s.dialect.RequestID)
+	return r.id == "" || id == r.id || id == "" && res.Header.Get(r.s.dialect.Proof) == ""
 }
 
 // sendFailed follows an attempt without an answer.
 func (r *run) sendFailed(p *dispatch.Place, err error) step {
 	sent := !isNotSent(err)
-	r.ran = r.ran || sent
+	r.mayHaveRun = r.mayHaveRun || sent
 	switch {
 	case sent:
-		r.broke(p, true, err)
+		r.reportBrokenAttempt(p, true, err)
 	case conn.IsRefused(err):
 		r.s.ctl.ConnRefused(p.Instance)
 	}
@@ -207,7 +207,7 @@
 	if conn.IsWithdrawn(err) && r.withdrawn < maxWithdrawn {
 		r.attempts--
 		r.withdraw(p, cmp.Or(r.s.ctl.Unusable(p), UpstreamLeft))
-		return stepAgain
+		return stepRetry
 	}
 	note := wire.NoteFailed
 	if !sent && conn.IsRefused(err) {
@@ -216,10 +216,10 @@
 	r.logAttempt(p, "attempt-failed", err)
 	if sent && !r.route.MayRepeat() || r.attempts >= r.route.MaxAttempts {
 		r.s.ctl.End(r.ticket, note)
-		r.afterFailure(p, sent, err)
+		r.failAfterAttempt(p, sent, err)
 		return stepDone
 	}
-	return r.again(note)
+	return r.retry(note)
 }
 
 // withdraw asks for another place for a request that was not sent to the one it had.
@@ -230,22 +230,22 @@
 	r.s.ctl.Again(r.ticket, wire.NoteUnused)
 }
 
-// afterFailure tells the end of a request that is not tried again.
-func (r *run) afterFailure(p *dispatch.Place, sent bool, err error) {
+// failAfterAttempt tells the end of a request that is not tried again.
+func (r *run) failAfterAttempt(p *dispatch.Place, sent bool, err error) {
 	switch {
-	case r.begun:
+	case r.headersSent:
 		r.abort("upstream-failed")
-	case r.ran:
+	case r.mayHaveRun:
 		r.fail(inDoubt("upstream-failed", false, p.Instance.ID, err))
 	default:
-		r.fail(notRun("upstream-unreachable", minComeBack))
+		r.fail(notRun("upstream-unreachable", unsentRetryDelay))
 	}
 }
 
-func (r *run) again(note uint8) step {
+func (r *run) retry(note uint8) step {
 	r.s.count.repeated.Inc(1)
 	r.s.ctl.Again(r.ticket, note)
-	return stepAgain
+	return stepRetry
 }
 
 func endNote(failed bool) uint8 {
@@ -259,32 +259,32 @@
 
 // logAttempt writes the line of an attempt that did not end well.
 func (r *run) logAttempt(p *dispatch.Place, what string, err error) {
-	e := r.s.lines.failure()
+	e := r.s.reqLog.failure()
 	if e == nil {
 		return
 	}
-	r.fields(e, p.Instance.ID)
-	placeFields(e, p)
+	r.addRequestFields(e, p.Instance.ID)
+	addPlacementFields(e, p)
 	if err != nil {
 		e.AnErr("cause", err)
 	}
-	e.Stringer("fingerprint", r.fingerprint()).Int("attempt", r.attempts).Int64("position", r.last).Bool("may_have_run", r.ran).Msg(what)
+	e.Stringer("fingerprint", r.fingerprint()).Int("attempt", r.attempts).Int64("position", r.lastPosition).Bool("may_have_run", r.mayHaveRun).Msg(what)
 }
 
 // logAnswered writes the line of an answered request, for some of them.
 func (r *run) logAnswered(p *dispatch.Place, status int, first time.Duration) {
 	r.s.count.answered.Inc(1)
-	e := r.s.lines.answered()
+	e := r.s.reqLog.answered()
 	if e == nil {
 		return
 	}
-	r.fields(e, p.Instance.ID)
-	placeFields(e, p)
+	r.addRequestFields(e, p.Instance.ID)
+	addPlacementFields(e, p)
 	e.Int("attempt", r.attempts).Int("status", status).Int64("first_ms", first.Milliseconds()).Msg("request-answered")
 }
 
-func lastEvent(h http.Header) int64 {
-	n, err := strconv.ParseInt(strings.TrimSpace(h.Get(headerLastEvent)), 10, 64)
+func parseLastEventID(h http.Header) int64 {
+	n, err := strconv.ParseInt(strings.TrimSpace(h.Get(headerLastEventID)), 10, 64)
 	if err != nil || n < 0 {
 		return 0
 	}
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -26,27 +26,27 @@
 // Server answers callers of the routed interface. It may be used by any
 // goroutine.
 type Server struct {
-	ctl     Control
-	ups     *conn.Exchanges
-	names   Dialect
-	most    int // requests at once
-	answers heldBytes
-	open    atomic.Int64
-	door    *door
-	looks   *looks
-	count   counters
-	lines   *reqLog
-	key     *fingerprint.Key
-	clock   *clock.Clock
-	tracer  trace.Tracer
+	ctl           Control
+	ups           *conn.Exchanges
+	dialect       Dialect
+	limit         int // requests at once
+	answerBuffers answerBuffers
+	open          atomic.Int64
+	loadShedder   *loadShedder
+	healthChecker *healthChecker
+	count         counters
+	reqLog        *requestLog
+	key           *fingerprint.Key
+	clock         *clock.Clock
+	tracer        trace.Tracer
 }
 
 // NewServer returns the handler's state. It knows requests again by fingerprints of the
 // key.
-func NewServer(ctl Control, ups *conn.Exchanges, names Dialect, key *fingerprint.Key, most Bounds, reg metrics.Registry, log zerolog.Logger) *Server {
-	s := &Server{ctl: ctl, ups: ups, names: names, key: key, clock: clock.System, most: most.Requests, answers: heldBytes{most: most.Answers}, door: newDoor(), count: newCounters(reg), lines: newReqLog(log), tracer: otel.Tracer("silverswitch")}
-	s.looks = newLooks(ups, names, s.clock)
-	ups.Heard = s.heard
+func NewServer(ctl Control, ups *conn.Exchanges, names Dialect, key *fingerprint.Key, most Limits, reg metrics.Registry, log zerolog.Logger) *Server {
+	s := &Server{ctl: ctl, ups: ups, dialect: names, key: key, clock: clock.System, limit: most.MaxRequests, answerBuffers: answerBuffers{limit: most.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
+	s.healthChecker = newHealthChecker(ups, names, s.clock)
+	ups.Heard = s.handleNotice
 	ups.Opened = func() { s.count.opened.Inc(1) }
 	ups.Fell = func(addr string, dropped int) {
 		log.Info().Str("address", addr).Int("closed", dropped).Msg("kept-connection-silent")
@@ -55,7 +55,7 @@
 }
 
 // visit is one request between its headers and its outcome.
-type visit struct {
+type callerRequest struct {
 	s        *Server
 	w        http.ResponseWriter
 	r        *http.Request
@@ -70,14 +70,14 @@
 	body     []byte
 	deadline time.Time
 	prompt   prompt
-	print    *fingerprint.Fingerprint // once it was needed
+	fp       *fingerprint.Fingerprint // once it was needed
 }
 
 // fingerprint returns the name of the request's content. It costs 24 us for a body of
 // 40 KB (BenchmarkFingerprint), so it is computed when it is needed first. The body must
 // have been read.
-func (v *visit) fingerprint() fingerprint.Fingerprint {
-	if v.print == nil {
+func (v *callerRequest) fingerprint() fingerprint.Fingerprint {
+	if v.fp == nil {
 		f := v.s.key.Of(fingerprint.Content{
 			Organisation: v.org,
 			Method:       v.r.Method,
@@ -85,13 +85,13 @@
 			Target:       v.r.RequestURI,
 			Body:         v.body,
 		})
-		v.print = &f
+		v.fp = &f
 	}
-	return *v.print
+	return *v.fp
 }
 
-// comeBackStarting is when a caller should return to a router that has no table.
-const comeBackStarting = 500 * time.Millisecond
+// startingRetryDelay is when a caller should return to a router that has no table.
+const startingRetryDelay = 500 * time.Millisecond
 
 // ServeHTTP decides from the headers, reads the body within its bounds, and runs
 // the request.
@@ -100,16 +100,16 @@
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.tracer.Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	v := &visit{s: s, w: w, r: r.WithContext(ctx), id: r.Header.Get(s.names.RequestID), arrived: s.clock.Now()}
-	v.boundWrites(v.arrived.Add(refusalWrite))
+	v := &callerRequest{s: s, w: w, r: r.WithContext(ctx), id: r.Header.Get(s.dialect.RequestID), arrived: s.clock.Now()}
+	v.setWriteDeadline(v.arrived.Add(refusalWriteTimeout))
 	defer s.open.Add(-1)
-	full := s.open.Add(1) > int64(s.most)
+	full := s.open.Add(1) > int64(s.limit)
 	if f := v.admit(); f != nil {
 		v.fail(*f)
 		return
 	}
-	if full || s.door.refuses(v.org, s.ctl.Excess(), s.ctl.Covered(v.service, v.org), v.arrived) {
-		v.turnAway()
+	if full || s.loadShedder.refuses(v.org, s.ctl.ShedRatio(), s.ctl.AdmitRatio(v.service, v.org), v.arrived) {
+		v.shedRequest()
 		return
 	}
 	if f := v.readBody(); f != nil {
@@ -119,23 +119,23 @@
 	v.run()
 }
 
-// turnAway refuses a request for want of processor. Its work still counts as asked
+// shedRequest refuses a request for want of processor. Its work still counts as asked
 // for, so that its organisation's share is not cut for having come in here.
-func (v *visit) turnAway() {
+func (v *callerRequest) shedRequest() {
 	v.s.count.shed.Inc(1)
-	v.s.ctl.TurnedAway(dispatch.TurnedWork{
+	v.s.ctl.RequestShed(dispatch.TurnedWork{
 		Service: v.service,
 		Org:     v.org,
 		Tokens:  dispatch.Cost(v.prompt.input, v.prompt.output),
 	})
-	v.fail(notRun("router-overloaded", comeBackElsewhere))
+	v.fail(notRun("router-overloaded", shedRetryDelay))
 }
 
 // admit decides from the headers alone.
-func (v *visit) admit() *failure {
+func (v *callerRequest) admit() *failure {
 	v.table = v.s.ctl.Table()
 	if v.table == nil {
-		return &failure{status: http.StatusServiceUnavailable, reason: "no-configuration", after: comeBackStarting}
+		return &failure{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: startingRetryDelay}
 	}
 	v.route = v.table.Match(v.r.Host, v.r.URL.Path)
 	if v.route == nil {
@@ -156,13 +156,13 @@
 		}
 		v.regions = v.regions.And(org.Regions)
 	}
-	v.deadline = v.arrived.Add(v.s.names.deadline(v.r.Header, v.route.Timeout))
-	v.prompt = v.s.names.readPrompt(v.r.Header)
+	v.deadline = v.arrived.Add(v.s.dialect.deadline(v.r.Header, v.route.Timeout))
+	v.prompt = v.s.dialect.readPrompt(v.r.Header)
 	return nil
 }
 
 // readBody reads the content whole: it may be needed for a second upstream.
-func (v *visit) readBody() *failure {
+func (v *callerRequest) readBody() *failure {
 	if v.r.Body == nil || v.r.Body == http.NoBody {
 		return nil
 	}
@@ -200,26 +200,26 @@
 }
 
 const (
-	// refusalWrite is how long writing an answer may take that is known at once.
-	refusalWrite = 5 * time.Second
-	// answerWrite is how long after a request's deadline the rest of its answer may
+	// refusalWriteTimeout is how long writing an answer may take that is known at once.
+	refusalWriteTimeout = 5 * time.Second
+	// answerWriteGrace is how long after a request's deadline the rest of its answer may
 	// take to be written.
-	answerWrite = 2 * time.Second
+	answerWriteGrace = 2 * time.Second
 )
 
-// boundWrites bounds the writes to the caller, so that a caller's connection that
+// setWriteDeadline bounds the writes to the caller, so that a caller's connection that
 // has gone silent holds nothing for ever. It must be set anew for each request.
-func (v *visit) boundWrites(until time.Time) {
+func (v *callerRequest) setWriteDeadline(until time.Time) {
 	_ = http.NewResponseController(v.w).SetWriteDeadline(v.s.clock.Monotonic(until)) // not supported by test recorders
 }
 
 // run asks where the request runs and carries it through its attempts.
-func (v *visit) run() {
-	if f := v.held(); f != nil {
+func (v *callerRequest) run() {
+	if f := v.quarantined(); f != nil {
 		v.fail(*f)
 		return
 	}
-	v.boundWrites(v.deadline.Add(answerWrite))
+	v.setWriteDeadline(v.deadline.Add(answerWriteGrace))
 	ctx, stop := v.s.clock.WithDeadline(v.r.Context(), v.deadline)
 	defer stop()
 	t := v.s.ctl.Submit(dispatch.Request{
@@ -233,6 +233,6 @@
 		Deadline: v.deadline,
 		Regions:  v.regions,
 	})
-	r := &run{visit: v, ctx: ctx, ticket: t, last: lastEvent(v.r.Header)}
+	r := &run{callerRequest: v, ctx: ctx, ticket: t, lastPosition: parseLastEventID(v.r.Header)}
 	r.loop()
 }
--- a/internal/request/forward/suspend_test.go
+++ b/internal/request/forward/suspend_test.go
@@ -17,7 +17,7 @@
 // The VM is suspended for 1.5 s while a request of 2 s waits for a second upstream: what
 // is handed down is what its caller still waits, and when nothing is left it ends at once
 // in place of when Go's timers would come to it.
-func TestSuspendedTimeIsNotHandedDown(t *testing.T) {
+func TestTimeSuspendedIsDeductedFromDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		suspended time.Duration
 		status    int
@@ -29,15 +29,15 @@
 		t.Run(name, func(t *testing.T) {
 			var total atomic.Int64
 			stepped := clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true })
-			first, _ := script(t, "\x00")
-			second, got := script(t, okHello)
-			r := newRig(t, first, second)
+			first, _ := scriptedUpstream(t, "\x00")
+			second, got := scriptedUpstream(t, okHelloAnswer)
+			r := newHarness(t, first, second)
 			r.server.clock = stepped
-			r.ctl.onAgain = func() {
+			r.control.onAgain = func() {
 				total.Add(int64(c.suspended))
 				stepped.Refresh()
 			}
-			r.ctl.slow = c.sent == 0
+			r.control.neverPlaceAgain = c.sent == 0
 			began := time.Now()
 			res, _, err := r.do(t, "GET", "/safe/x", "", "X-Left-Ms", "2000")
 			require.NoError(t, err)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestDeadlineOfAClockEndsWithTheCaller(t *testing.T) {
+func TestClockDeadlineEndsWithCaller(t *testing.T) {
 	ctx, gone := context.WithCancel(context.Background())
 	held, stop := clock.System.WithDeadline(ctx, clock.System.Now().Add(time.Hour))
 	defer stop()
--- a/internal/request/forward/watchdog.go
+++ b/internal/request/forward/watchdog.go
@@ -11,32 +11,32 @@
 // router that is itself too slow to read, or was paused, takes no upstream for
 // silent whose bytes wait to be read.
 type watchdog struct {
-	timer   *time.Timer
-	fire    func()
-	waiting atomic.Pointer[conn.Exchange]
+	timer     *time.Timer
+	onSilence func()
+	exchange  atomic.Pointer[conn.Exchange]
 }
 
-// lookAgain is after how long a watchdog looks again that has found bytes waiting.
-const lookAgain = 200 * time.Millisecond
+// recheckInterval is after how long a watchdog looks again that has found bytes waiting.
+const recheckInterval = 200 * time.Millisecond
 
 // newWatchdog starts one; a limit of 0 is none.
 func newWatchdog(fire func(), limit time.Duration) *watchdog {
-	w := &watchdog{fire: fire}
-	w.timer = time.AfterFunc(time.Hour, w.look)
+	w := &watchdog{onSilence: fire}
+	w.timer = time.AfterFunc(time.Hour, w.check)
 	w.reset(limit)
 	return w
 }
 
 // watch says which exchange's bytes to look for.
-func (w *watchdog) watch(x *conn.Exchange) { w.waiting.Store(x) }
+func (w *watchdog) watch(x *conn.Exchange) { w.exchange.Store(x) }
 
 // look runs when nothing was read for the limit.
-func (w *watchdog) look() {
-	if x := w.waiting.Load(); x != nil && x.Waiting() {
-		w.timer.Reset(lookAgain)
+func (w *watchdog) check() {
+	if x := w.exchange.Load(); x != nil && x.Waiting() {
+		w.timer.Reset(recheckInterval)
 		return
 	}
-	w.fire()
+	w.onSilence()
 }
 
 func (w *watchdog) reset(limit time.Duration) {
--- a/internal/request/forward/watchdog_test.go
+++ b/internal/request/forward/watchdog_test.go
@@ -20,7 +20,7 @@
 // A router short of processor did not
 // get to read its streams for a second, took the upstreams for silent, and cut
 // streams whose events lay in its own sockets.
-func TestWatchdogLooksAgainWhileBytesWait(t *testing.T) {
+func TestWatchdogDoesNotFireWhileBytesAreUnread(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -39,7 +39,7 @@
 		func(*http.Response) bool { return true })
 	require.NoError(t, err)
 	require.Eventually(t, x.Waiting, 10*time.Second, time.Millisecond)
-	w.look()
+	w.check()
 	assert.Zero(t, fired.Load(), "its bytes wait here")
 	_, _ = io.CopyN(io.Discard, x.Response.Body, 50_000)
 	assert.Eventually(t, func() bool { return fired.Load() == 1 }, 10*time.Second, 10*time.Millisecond, "read, and then silent")
@@ -47,15 +47,15 @@
 
 // A stream that falls silent midway is resumed elsewhere, and what is kept on its
 // path is given up.
-func TestStreamThatFallsSilentCastsDoubtOnItsPath(t *testing.T) {
+func TestSilentStreamIsResumedAndItsConnectionsClosed(t *testing.T) {
 	event := func(i int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", i) }
-	head := okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	head := okHeader + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
-	silent, _ := script(t, head+chunk(event(1)))
-	rest, got := script(t, head+chunk(event(2))+"0\r\n\r\n")
-	r := newRig(t, silent, rest)
+	silent, _ := scriptedUpstream(t, head+chunk(event(1)))
+	rest, got := scriptedUpstream(t, head+chunk(event(2))+"0\r\n\r\n")
+	r := newHarness(t, silent, rest)
 	var fell atomic.Int64
-	r.ex.Fell = func(string, int) { fell.Add(1) }
+	r.exchanges.Fell = func(string, int) { fell.Add(1) }
 	res, body, err := r.do(t, "POST", "/stream/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
--- a/internal/request/outcome/outcome.go
+++ b/internal/request/outcome/outcome.go
@@ -47,12 +47,12 @@
 
 // Failure is an outcome without an answer.
 type Failure struct {
-	Kind   Kind
-	Status int
-	Reason string
-	Detail string        // for a person; never content
-	After  time.Duration // when to come back, 0 for never
-	Where  string        // Location of a redirect
+	Kind       Kind
+	Status     int
+	Reason     string
+	Detail     string        // for a person; never content
+	RetryDelay time.Duration // when to come back, 0 for never
+	Location   string        // Location of a redirect
 }
 
 // Error makes a Failure usable as an error inside a handler.
@@ -66,7 +66,7 @@
 // Refused maps a decision of the core to a failure. With doubt an earlier
 // attempt with the same key may have run, and the outcome is unknown.
 func Refused(why entry.Reason, after time.Duration, doubt bool) Failure {
-	f := Failure{Kind: NotRun, Status: statusOf(why), Reason: string(why), Detail: details[why], After: after}
+	f := Failure{Kind: NotRun, Status: statusOf(why), Reason: string(why), Detail: refusalDetails[why], RetryDelay: after}
 	if doubt {
 		f.Kind = Unknown
 	}
@@ -85,7 +85,7 @@
 	return http.StatusServiceUnavailable
 }
 
-var details = map[entry.Reason]string{
+var refusalDetails = map[entry.Reason]string{
 	entry.ReasonQueueFull:    "the organisation's queue at this router is full",
 	entry.ReasonDeadline:     "the deadline passes before a slot is free",
 	entry.ReasonNoUpstream:   "no upstream in the organisation's places takes new work",
@@ -100,7 +100,7 @@
 
 // body is the one shape of every error. It follows the OpenAI error object, so
 // that client libraries show it.
-type body struct {
+type errorBody struct {
 	Error struct {
 		Message    string  `json:"message"`
 		Type       string  `json:"type"`
@@ -118,24 +118,24 @@
 	h.Set(HeaderOutcome, string(f.Kind))
 	h.Set(HeaderReason, f.Reason)
 	h.Set(HeaderRequestID, id)
-	if f.After > 0 {
-		h.Set("Retry-After", strconv.Itoa(seconds(f.After)))
+	if f.RetryDelay > 0 {
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(f.RetryDelay)))
 	}
-	if f.Where != "" {
-		h.Set("Location", f.Where)
+	if f.Location != "" {
+		h.Set("Location", f.Location)
 	}
-	var b body
+	var b errorBody
 	b.Error.Message = f.Detail
 	b.Error.Type = "silverswitch_error"
 	b.Error.Code = f.Reason
 	b.Error.Outcome = f.Kind
-	b.Error.RetryAfter = f.After.Seconds()
+	b.Error.RetryAfter = f.RetryDelay.Seconds()
 	b.Error.RequestID = id
 	w.WriteHeader(f.Status)
 	_ = json.NewEncoder(w).Encode(b) // the caller may be gone
 }
 
 // seconds rounds up: coming back early would only be refused again.
-func seconds(d time.Duration) int {
+func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -13,18 +13,18 @@
 )
 
 // content returns the name of what the request asks, computed when it is needed first.
-func (r *run) content() fingerprint.Fingerprint {
-	if r.print == nil {
-		f := r.s.prints.Of(fingerprint.Content{
+func (r *run) contentFingerprint() fingerprint.Fingerprint {
+	if r.fp == nil {
+		f := r.s.fingerprintKey.Of(fingerprint.Content{
 			Organisation: r.call.Organisation,
 			Method:       r.call.Method,
 			Host:         r.app.Service,
 			Target:       r.call.Path,
 			Body:         r.call.Body,
 		})
-		r.print = &f
+		r.fp = &f
 	}
-	return *r.print
+	return *r.fp
 }
 
 // crashes returns what is known of the request's content. It needs a fingerprint only
@@ -34,27 +34,27 @@
 	if len(known) == 0 {
 		return quarantine.State{}
 	}
-	return known[r.content()]
+	return known[r.contentFingerprint()]
 }
 
-// heldFor is how much longer the request is held back since upstreams crashed under it.
+// quarantinedFor is how much longer the request is held back since upstreams crashed under it.
 // None of it is sent to another one: 60 of them ended under 30 tries without this.
-func (r *run) heldFor() time.Duration { return r.crashes().Held(r.s.clock.Now()) }
+func (r *run) quarantinedFor() time.Duration { return r.crashes().Held(r.s.clock.Now()) }
 
-// refuseHeld tells the outcome of a request that is held. After an attempt that may have
+// refuseQuarantined tells the outcome of a request that is held. After an attempt that may have
 // run, or an earlier one with its key, that is unknown.
-func (r *run) refuseHeld(left time.Duration, doubt bool) {
-	r.s.failVisit(r.v, outcome.Refused(entry.ReasonCrashes, left, doubt))
+func (r *run) refuseQuarantined(left time.Duration, doubt bool) {
+	r.s.failRequest(r.v, outcome.Refused(entry.ReasonCrashes, left, doubt))
 }
 
 // broke says that the upstream may have run the request and gave no whole answer; early
 // that the answer had not begun.
-func (r *run) broke(u *version.Upstream, early bool) {
-	r.s.ctl.Broke(core.Broke{Content: r.content(), Org: r.v.org.ID, Upstream: u.ID, Began: r.sent, Early: early})
+func (r *run) reportBrokenAttempt(u *version.Upstream, early bool) {
+	r.s.ctl.Broke(core.Broke{Content: r.contentFingerprint(), Org: r.v.org.ID, Upstream: u.ID, Began: r.sentAt, Early: early})
 }
 
-// notSent says so when the upstream's process has ended.
-func (r *run) notSent(u *version.Upstream, err error) {
+// reportRefusedConnection says so when the upstream's process has ended.
+func (r *run) reportRefusedConnection(u *version.Upstream, err error) {
 	if conn.IsRefused(err) {
 		r.s.ctl.ConnRefused(u.ID)
 	}
@@ -64,6 +64,6 @@
 // it: it was not what ended those upstreams.
 func (r *run) answeredWhole() {
 	if r.crashes().Crashes > 0 {
-		r.s.ctl.AnsweredWhole(r.content())
+		r.s.ctl.AnsweredWhole(r.contentFingerprint())
 	}
 }
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -46,20 +46,20 @@
 
 // The states.
 const (
-	Replied  State = iota // Response is set; its body is still to be read
-	NotSent               // no byte reached the upstream
-	NotBegun              // the upstream's reply proves that it did not run
-	InDoubt               // sent, no reply
-	Foreign               // the reply names another attempt
+	Replied    State = iota // Response is set; its body is still to be read
+	NotSent                 // no byte reached the upstream
+	NotStarted              // the upstream's reply proves that it did not run
+	InDoubt                 // sent, no reply
+	Foreign                 // the reply names another attempt
 )
 
 // Result is the end of one attempt up to the reply's headers.
 type Result struct {
-	State    State
-	Leaving  bool
-	Response *http.Response
-	Err      error
-	First    time.Duration // to the reply's headers
+	State        State
+	Leaving      bool
+	Response     *http.Response
+	Err          error
+	TimeToHeader time.Duration // to the reply's headers
 }
 
 // Send runs one attempt. attempt is unique over all attempts of all routers.
@@ -82,7 +82,7 @@
 		}
 		return Result{State: NotSent, Err: err}
 	}
-	return judge(res, attempt, time.Since(began))
+	return classify(res, attempt, time.Since(began))
 }
 
 func newRequest(ctx context.Context, u *version.Upstream, attempt string, c Call) (*http.Request, error) {
@@ -103,22 +103,22 @@
 }
 
 // forwarded are the callers' headers that reach upstreams. Keys never do.
-var forwarded = []string{"Content-Type", "Accept", "Accept-Language", "Idempotency-Key", "User-Agent"}
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "Idempotency-Key", "User-Agent"}
 
 func copyHeader(to, from http.Header) {
-	for _, name := range forwarded {
+	for _, name := range forwardedHeaders {
 		if v, ok := from[name]; ok {
 			to[name] = v
 		}
 	}
 }
 
-func judge(res *http.Response, attempt string, first time.Duration) Result {
-	r := Result{State: Replied, Response: res, First: first, Leaving: res.Header.Get(HeaderLeaving) == "true"}
+func classify(res *http.Response, attempt string, first time.Duration) Result {
+	r := Result{State: Replied, Response: res, TimeToHeader: first, Leaving: res.Header.Get(HeaderLeaving) == "true"}
 	refused := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 	switch {
 	case refused && res.Header.Get(HeaderNotStarted) == "true":
-		r.State = NotBegun
+		r.State = NotStarted
 	case res.Header.Get(HeaderAttempt) != attempt:
 		r.State = Foreign
 	}
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// maxTries bounds the attempts of one request that may be repeated.
-	maxTries = 4
-	// staleStart is how old a slot may be when it is used: after a pause the
+	// maxAttempts bounds the attempts of one request that may be repeated.
+	maxAttempts = 4
+	// maxDecisionAge is how old a slot may be when it is used: after a pause the
 	// place rule and the lease are asked for again.
-	staleStart = 500 * time.Millisecond
+	maxDecisionAge = 500 * time.Millisecond
 )
 
 // run carries one request from its ticket to its outcome.
 type run struct {
-	s        *Server
-	v        *visit
-	app      *version.Application
-	call     relay.Call
-	streams  bool
-	ticket   *Ticket
-	ctx      context.Context
-	deadline time.Time
-	tries    int
-	ran      bool                     // an attempt may have run
-	sent     time.Time                // of the last attempt, by the server's clock
-	print    *fingerprint.Fingerprint // once it was needed
+	s          *Server
+	v          *callerRequest
+	app        *version.Application
+	call       relay.Call
+	streams    bool
+	ticket     *Ticket
+	ctx        context.Context
+	deadline   time.Time
+	attempts   int
+	mayHaveRun bool                     // an attempt may have run
+	sentAt     time.Time                // of the last attempt, by the server's clock
+	fp         *fingerprint.Fingerprint // once it was needed
 }
 
 // loop waits for a slot and tries, until there is an outcome.
@@ -51,13 +51,13 @@
 			return
 		}
 		r.s.clock.Refresh() // a lease may have run out in a suspension that nobody noticed yet
-		if r.s.clock.Since(d.At) > staleStart {
+		if r.s.clock.Since(d.At) > maxDecisionAge {
 			r.s.ctl.Return(r.ticket, false)
 			continue
 		}
-		if left := r.heldFor(); left > 0 {
+		if left := r.quarantinedFor(); left > 0 {
 			r.s.ctl.Cancel(r.ticket)
-			r.refuseHeld(left, r.ran)
+			r.refuseQuarantined(left, r.mayHaveRun)
 			return
 		}
 		if r.attempt(d.Upstream) {
@@ -77,7 +77,7 @@
 	}
 	if d.Upstream == nil {
 		span.SetAttributes(attribute.String("refused", string(d.Refusal.Reason)))
-		r.s.failVisit(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.After, d.Refusal.Doubt))
+		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.After, d.Refusal.Doubt))
 		return d, false
 	}
 	_, grant := r.s.tracer.Start(r.ctx, "grant", trace.WithTimestamp(d.At), trace.WithAttributes(attribute.String("upstream", d.Upstream.Name)))
@@ -95,8 +95,8 @@
 // attempt runs the request at an upstream once. It returns true when the outcome
 // has been told, and false when the request waits for another slot.
 func (r *run) attempt(u *version.Upstream) bool {
-	r.tries++
-	r.sent = r.s.clock.Now()
+	r.attempts++
+	r.sentAt = r.s.clock.Now()
 	id := uuid.Must(uuid.NewV7()).String()
 	ctx, span := r.s.tracer.Start(r.ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("upstream", u.Name), attribute.String("place", u.Place)))
@@ -105,16 +105,16 @@
 	defer stop()
 	res := relay.Send(ctx, r.s.ups, u, id, r.call)
 	if res.Leaving {
-		r.s.ctl.Leaving(u.ID)
+		r.s.ctl.UpstreamLeaving(u.ID)
 	}
 	switch res.State {
 	case relay.Replied:
-		p := &passage{run: r, upstream: u, attempt: id, res: res, ctx: ctx, stop: stop, began: time.Now()}
+		p := &answer{run: r, upstream: u, attempt: id, res: res, ctx: ctx, stop: stop, began: time.Now()}
 		return p.deliver()
-	case relay.NotSent, relay.NotBegun:
-		r.notSent(u, res.Err)
+	case relay.NotSent, relay.NotStarted:
+		r.reportRefusedConnection(u, res.Err)
 		span.SetAttributes(attribute.Bool("not_run", true))
-		return r.again(res.State == relay.NotSent)
+		return r.retry(res.State == relay.NotSent)
 	case relay.Foreign:
 		r.s.count.foreign.Inc(1)
 	}
@@ -122,26 +122,26 @@
 }
 
 // again waits for another slot after an attempt that provably did not run.
-func (r *run) again(failed bool) bool {
-	if r.tries < maxTries && r.ctx.Err() == nil {
+func (r *run) retry(failed bool) bool {
+	if r.attempts < maxAttempts && r.ctx.Err() == nil {
 		r.s.ctl.Return(r.ticket, failed)
 		return false
 	}
 	r.finish(wire.Sample{Failed: 1}, false)
-	r.s.failVisit(r.v, outcome.Refused(entry.ReasonNoUpstream, time.Second, false))
+	r.s.failRequest(r.v, outcome.Refused(entry.ReasonNoUpstream, time.Second, false))
 	return true
 }
 
 // failed ends an attempt that may have run. Only what is idempotent is tried
 // again, within the budget.
 func (r *run) failed(u *version.Upstream, id string, res relay.Result) bool {
-	r.ran = true
-	r.broke(u, true)
+	r.mayHaveRun = true
+	r.reportBrokenAttempt(u, true)
 	gone := r.v.r.Context().Err() != nil
 	if gone || r.ctx.Err() != nil {
 		relay.Cancel(r.s.ups, u, id, r.call.Organisation)
 	}
-	if !gone && r.app.Idempotent && r.tries < maxTries && r.ctx.Err() == nil && r.s.budget.take() {
+	if !gone && r.app.Idempotent && r.attempts < maxAttempts && r.ctx.Err() == nil && r.s.budget.take() {
 		r.s.count.retried.Inc(1)
 		r.s.ctl.Return(r.ticket, true)
 		return false
@@ -155,7 +155,7 @@
 	if r.ctx.Err() != nil {
 		status = http.StatusGatewayTimeout
 	}
-	r.s.failVisit(r.v, outcome.Failure{Kind: outcome.Unknown, Status: status, Reason: reason, Detail: "the upstream gave no whole answer; the request may have run"})
+	r.s.failRequest(r.v, outcome.Failure{Kind: outcome.Unknown, Status: status, Reason: reason, Detail: "the upstream gave no whole answer; the request may have run"})
 	return true
 }
 
@@ -166,12 +166,12 @@
 	}
 }
 
-// passHeaders are the upstream's headers that reach callers.
-var passHeaders = []string{"Content-Type", "Content-Language", "Cache-Control", "Retry-After", "Etag", "Last-Modified"}
+// forwardedHeaders are the upstream's headers that reach callers.
+var forwardedHeaders = []string{"Content-Type", "Content-Language", "Cache-Control", "Retry-After", "Etag", "Last-Modified"}
 
-func (r *run) writeHead(res *http.Response, kind outcome.Kind, length int) {
+func (r *run) writeHeader(res *http.Response, kind outcome.Kind, length int) {
 	h := r.v.w.Header()
-	for _, name := range passHeaders {
+	for _, name := range forwardedHeaders {
 		if v, ok := res.Header[name]; ok {
 			h[name] = v
 		}
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -30,44 +30,44 @@
 
 // Limits on what callers may send.
 type Limits struct {
-	Body      int64         // bytes of one body
-	Answer    int64         // bytes of one answer that is not a stream
-	BodyTime  time.Duration // to send the body
-	StallTime time.Duration // longest pause of an upstream's stream
+	MaxBodyBytes   int64         // bytes of one body
+	MaxAnswerBytes int64         // bytes of one answer that is not a stream
+	BodyTimeout    time.Duration // to send the body
+	StallTimeout   time.Duration // longest pause of an upstream's stream
 }
 
 // DefaultLimits suit syllabi of a few hundred pages.
 var DefaultLimits = Limits{
-	Body:      4 << 20,
-	Answer:    16 << 20,
-	BodyTime:  20 * time.Second,
-	StallTime: 30 * time.Second,
+	MaxBodyBytes:   4 << 20,
+	MaxAnswerBytes: 16 << 20,
+	BodyTimeout:    20 * time.Second,
+	StallTimeout:   30 * time.Second,
 }
 
 // Server answers callers. It may be used by any goroutine.
 type Server struct {
-	ctl    Control
-	ups    *conn.Upstreams
-	limits Limits
-	budget *retryBudget
-	count  counters
-	clock  *clock.Clock
-	prints *fingerprint.Key
-	tracer trace.Tracer
+	ctl            Control
+	ups            *conn.Upstreams
+	limits         Limits
+	budget         *retryBudget
+	count          counters
+	clock          *clock.Clock
+	fingerprintKey *fingerprint.Key
+	tracer         trace.Tracer
 }
 
 // NewServer returns the callers' handler's state. It knows requests again by fingerprints
 // of the key.
 func NewServer(ctl Control, ups *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
 	return &Server{
-		ctl:    ctl,
-		ups:    ups,
-		limits: limits,
-		budget: newRetryBudget(),
-		count:  newCounters(reg),
-		clock:  clock.System,
-		prints: fingerprints,
-		tracer: otel.Tracer("silverswitch"),
+		ctl:            ctl,
+		ups:            ups,
+		limits:         limits,
+		budget:         newRetryBudget(),
+		count:          newCounters(reg),
+		clock:          clock.System,
+		fingerprintKey: fingerprints,
+		tracer:         otel.Tracer("silverswitch"),
 	}
 }
 
@@ -83,32 +83,32 @@
 }
 
 func (s *Server) notFound(w http.ResponseWriter, r *http.Request) {
-	s.fail(w, caller.RequestID(r), outcome.BadRequest(http.StatusNotFound, outcome.ReasonPath,
+	s.writeFailure(w, caller.RequestID(r), outcome.BadRequest(http.StatusNotFound, outcome.ReasonPath,
 		"allowed: POST /v1/chat/completions, GET /v1/models, /v1/apps/{application}/{path}"))
 }
 
 // visit is one request between its headers and its outcome.
-type visit struct {
-	w     http.ResponseWriter
-	r     *http.Request
-	ver   *version.Version
-	org   *version.Organisation
-	terms caller.Terms
-	span  trace.Span
-	open  bool // a key was given and no witness has ruled on it yet
+type callerRequest struct {
+	w            http.ResponseWriter
+	r            *http.Request
+	ver          *version.Version
+	org          *version.Organisation
+	terms        caller.Terms
+	span         trace.Span
+	keyUndecided bool // a key was given and no witness has ruled on it yet
 }
 
 // withOrganisation decides from the headers alone: who calls, whether this
 // router stands in a place the organisation allows, and under which terms.
-func (s *Server) withOrganisation(next func(*visit)) http.HandlerFunc {
+func (s *Server) withOrganisation(next func(*callerRequest)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.count.arrived.Inc(1)
 		ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		ctx, span := s.tracer.Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
 		defer span.End()
-		v := &visit{w: w, r: r.WithContext(ctx), span: span, open: r.Header.Get(caller.HeaderKey) != ""}
+		v := &callerRequest{w: w, r: r.WithContext(ctx), span: span, keyUndecided: r.Header.Get(caller.HeaderKey) != ""}
 		if err := s.admit(v); err != nil {
-			s.failVisit(v, err)
+			s.failRequest(v, err)
 			return
 		}
 		span.SetAttributes(attribute.String("organisation", v.org.Name), attribute.String("request_id", v.terms.ID))
@@ -116,7 +116,7 @@
 	}
 }
 
-func (s *Server) admit(v *visit) error {
+func (s *Server) admit(v *callerRequest) error {
 	v.terms.ID = caller.RequestID(v.r)
 	v.ver = s.ctl.Version()
 	if v.ver == nil {
@@ -128,26 +128,26 @@
 	}
 	v.org = org
 	if !org.Allows(s.ctl.Place()) {
-		return s.elsewhere(v)
+		return s.redirect(v)
 	}
 	v.terms, err = caller.Read(v.r, v.terms.ID)
 	return err
 }
 
 // elsewhere redirects to a router in an allowed place, before the body is read.
-func (s *Server) elsewhere(v *visit) error {
+func (s *Server) redirect(v *callerRequest) error {
 	f := outcome.BadRequest(http.StatusMisdirectedRequest, outcome.ReasonPlace, "this router stands outside the organisation's places")
 	if base := s.ctl.Redirect(v.org.Places); base != "" {
 		f.Status = http.StatusTemporaryRedirect
-		f.Where = base + v.r.URL.RequestURI()
+		f.Location = base + v.r.URL.RequestURI()
 	} else {
 		f.Status = http.StatusServiceUnavailable
-		f.After = 5 * time.Second
+		f.RetryDelay = 5 * time.Second
 	}
 	return f
 }
 
-func (s *Server) models(v *visit) {
+func (s *Server) models(v *callerRequest) {
 	type model struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
@@ -170,28 +170,28 @@
 }
 
 // completion serves the OpenAI-style route; the model names the application.
-func (s *Server) completion(v *visit) {
+func (s *Server) completion(v *callerRequest) {
 	raw, err := s.readBody(v)
 	if err != nil {
-		s.failVisit(v, err)
+		s.failRequest(v, err)
 		return
 	}
 	var fields map[string]json.RawMessage
 	var model string
 	var streams bool
 	if err := readCompletion(raw, &fields, &model, &streams); err != nil {
-		s.failVisit(v, err)
+		s.failRequest(v, err)
 		return
 	}
 	app, err := s.application(v, model, version.KindModel)
 	if err != nil {
-		s.failVisit(v, err)
+		s.failRequest(v, err)
 		return
 	}
 	fields["model"], _ = json.Marshal(app.Service) // a string always encodes
 	body, err := json.Marshal(fields)
 	if err != nil {
-		s.failVisit(v, outcome.BadRequest(http.StatusBadRequest, outcome.ReasonBody, err.Error()))
+		s.failRequest(v, outcome.BadRequest(http.StatusBadRequest, outcome.ReasonBody, err.Error()))
 		return
 	}
 	s.serve(v, app, relay.Call{Method: http.MethodPost, Path: "/v1/chat/completions", Body: body}, streams)
@@ -219,20 +219,20 @@
 }
 
 // plain serves calls to plain services; the path names the application.
-func (s *Server) plain(v *visit) {
+func (s *Server) plain(v *callerRequest) {
 	name, err := url.PathUnescape(mux.Vars(v.r)["app"])
 	if err != nil {
-		s.failVisit(v, outcome.BadRequest(http.StatusNotFound, outcome.ReasonPath, "application name is not a valid path segment"))
+		s.failRequest(v, outcome.BadRequest(http.StatusNotFound, outcome.ReasonPath, "application name is not a valid path segment"))
 		return
 	}
 	app, err := s.application(v, name, version.KindPlain)
 	if err != nil {
-		s.failVisit(v, err)
+		s.failRequest(v, err)
 		return
 	}
 	raw, err := s.readBody(v)
 	if err != nil {
-		s.failVisit(v, err)
+		s.failRequest(v, err)
 		return
 	}
 	path := strings.TrimPrefix(v.r.URL.EscapedPath(), "/v1/apps/"+mux.Vars(v.r)["app"])
@@ -242,7 +242,7 @@
 	s.serve(v, app, relay.Call{Method: v.r.Method, Path: path, Body: raw}, false)
 }
 
-func (s *Server) application(v *visit, name string, kind version.Kind) (*version.Application, error) {
+func (s *Server) application(v *callerRequest, name string, kind version.Kind) (*version.Application, error) {
 	app := v.org.Applications[name]
 	if app == nil || v.ver.Services[app.Service].Kind != kind {
 		return nil, outcome.BadRequest(http.StatusNotFound, outcome.ReasonApplication, "the organisation has no such application on this route")
@@ -251,10 +251,10 @@
 }
 
 // readBody reads the content within its bounds of size and time.
-func (s *Server) readBody(v *visit) ([]byte, error) {
+func (s *Server) readBody(v *callerRequest) ([]byte, error) {
 	rc := http.NewResponseController(v.w)
-	_ = rc.SetReadDeadline(time.Now().Add(s.limits.BodyTime)) // not supported by test recorders
-	raw, err := io.ReadAll(http.MaxBytesReader(v.w, v.r.Body, s.limits.Body))
+	_ = rc.SetReadDeadline(time.Now().Add(s.limits.BodyTimeout)) // not supported by test recorders
+	raw, err := io.ReadAll(http.MaxBytesReader(v.w, v.r.Body, s.limits.MaxBodyBytes))
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
 		return raw, nil
@@ -269,11 +269,11 @@
 }
 
 // serve waits for a slot, carries the request, and tells the outcome.
-func (s *Server) serve(v *visit, app *version.Application, call relay.Call, streams bool) {
-	key, err := s.key(v, app)
-	v.open = false // no key that runs once, or the witnesses will rule on it
+func (s *Server) serve(v *callerRequest, app *version.Application, call relay.Call, streams bool) {
+	key, err := s.idempotencyKey(v, app)
+	v.keyUndecided = false // no key that runs once, or the witnesses will rule on it
 	if err != nil {
-		s.failVisit(v, err)
+		s.failRequest(v, err)
 		return
 	}
 	timeout := app.Timeout
@@ -287,8 +287,8 @@
 	call.Organisation = v.org.Name
 	call.Repeatable = app.Idempotent
 	run := &run{s: s, v: v, app: app, call: call, streams: streams, ctx: ctx, deadline: deadline}
-	if left := run.heldFor(); left > 0 {
-		run.refuseHeld(left, key != nil)
+	if left := run.quarantinedFor(); left > 0 {
+		run.refuseQuarantined(left, key != nil)
 		return
 	}
 	run.ticket = s.ctl.Submit(entry.Request{
@@ -301,7 +301,7 @@
 }
 
 // key reads the idempotency key. Only what may not be repeated needs it.
-func (s *Server) key(v *visit, app *version.Application) (*claim.Key, error) {
+func (s *Server) idempotencyKey(v *callerRequest, app *version.Application) (*claim.Key, error) {
 	if app.Idempotent || v.terms.Key == "" {
 		return nil, nil
 	}
@@ -312,19 +312,19 @@
 	return &k, nil
 }
 
-func (s *Server) failVisit(v *visit, err error) {
+func (s *Server) failRequest(v *callerRequest, err error) {
 	var f outcome.Failure
 	if !errors.As(err, &f) {
 		f = outcome.BadRequest(http.StatusBadRequest, outcome.ReasonBody, err.Error())
 	}
-	if v.open && f.Kind == outcome.NotRun {
+	if v.keyUndecided && f.Kind == outcome.NotRun {
 		f.Kind = outcome.Unknown // an earlier call with the key may have run
 	}
 	v.span.SetAttributes(attribute.String("outcome", string(f.Kind)), attribute.String("reason", f.Reason))
-	s.fail(v.w, v.terms.ID, f)
+	s.writeFailure(v.w, v.terms.ID, f)
 }
 
-func (s *Server) fail(w http.ResponseWriter, id string, f outcome.Failure) {
+func (s *Server) writeFailure(w http.ResponseWriter, id string, f outcome.Failure) {
 	s.count.outcome(f.Kind, f.Reason)
 	outcome.Write(w, id, f)
 }
--- a/internal/request/stream/event.go
+++ b/internal/request/stream/event.go
@@ -10,8 +10,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// MaxEvent is the largest event read, in bytes.
-const MaxEvent = 1 << 20
+// MaxEventBytes is the largest event read, in bytes.
+const MaxEventBytes = 1 << 20
 
 // NoPosition is the Position of an event without a numeric id.
 const NoPosition = -1
@@ -44,21 +44,21 @@
 		line, err := r.ReadSlice('\n')
 		start := len(e.Raw)
 		e.Raw = append(e.Raw, line...)
-		if len(e.Raw) > MaxEvent {
-			return e, ErrEvent.New("event of more than %d bytes", MaxEvent)
+		if len(e.Raw) > MaxEventBytes {
+			return e, ErrEvent.New("event of more than %d bytes", MaxEventBytes)
 		}
 		if err == bufio.ErrBufferFull {
 			if e.Raw, err = readRest(r, e.Raw); err != nil {
 				return e, err
 			}
 		} else if err != nil {
-			return e, atEnd(err, len(e.Raw))
+			return e, endError(err, len(e.Raw))
 		}
 		text := bytes.TrimRight(e.Raw[start:], "\r\n")
 		if len(text) == 0 {
 			return e, nil
 		}
-		e.field(text)
+		e.parseField(text)
 	}
 }
 
@@ -67,27 +67,27 @@
 	for {
 		line, err := r.ReadSlice('\n')
 		raw = append(raw, line...)
-		if len(raw) > MaxEvent {
-			return raw, ErrEvent.New("event of more than %d bytes", MaxEvent)
+		if len(raw) > MaxEventBytes {
+			return raw, ErrEvent.New("event of more than %d bytes", MaxEventBytes)
 		}
 		if err == nil {
 			return raw, nil
 		}
 		if err != bufio.ErrBufferFull {
-			return raw, atEnd(err, len(raw))
+			return raw, endError(err, len(raw))
 		}
 	}
 }
 
-// atEnd keeps a clean end apart from one inside an event.
-func atEnd(err error, read int) error {
+// endError keeps a clean end apart from one inside an event.
+func endError(err error, read int) error {
 	if read == 0 {
 		return err
 	}
 	return ErrEvent.Wrap(err, "ended inside an event")
 }
 
-func (e *Event) field(line []byte) {
+func (e *Event) parseField(line []byte) {
 	switch {
 	case bytes.HasPrefix(line, fieldID):
 		text := string(bytes.TrimSpace(line[len(fieldID):]))
--- a/internal/request/stream/event_test.go
+++ b/internal/request/stream/event_test.go
@@ -12,7 +12,7 @@
 
 func reader(text string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(text), 16) }
 
-func TestReadKeepsTheBytes(t *testing.T) {
+func TestReadKeepsBytesUnchanged(t *testing.T) {
 	text := "id: 3\ndata: {\"long\":\"" + strings.Repeat("x", 100) + "\"}\n\n"
 	r := reader(text + "data: [DONE]\r\n\r\n")
 	e, err := Read(r, nil)
@@ -28,7 +28,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-func TestEndInsideAnEventIsNoEnd(t *testing.T) {
+func TestEndInsideEventIsAnError(t *testing.T) {
 	for _, text := range []string{"data: x", "data: x\n", "id: 1\ndata: " + strings.Repeat("y", 50)} {
 		_, err := Read(reader(text), nil)
 		require.Error(t, err)
@@ -37,9 +37,9 @@
 }
 
 func TestEventsAreBounded(t *testing.T) {
-	_, err := Read(reader("data: "+strings.Repeat("x", MaxEvent)+"\n\n"), nil)
+	_, err := Read(reader("data: "+strings.Repeat("x", MaxEventBytes)+"\n\n"), nil)
 	assert.ErrorContains(t, err, "more than")
-	_, err = Read(reader(strings.Repeat("data: xxxxxxxxxx\n", MaxEvent/10)), nil)
+	_, err = Read(reader(strings.Repeat("data: xxxxxxxxxx\n", MaxEventBytes/10)), nil)
 	assert.ErrorContains(t, err, "more than")
 }
 
--- a/internal/request/suspend_test.go
+++ b/internal/request/suspend_test.go
@@ -41,7 +41,7 @@
 // The VM is suspended between the moment at which a request is given a slot and the one
 // at which it would use it: its lease has run out elsewhere, and another request may run
 // in that slot.
-func TestSlotFromBeforeASuspensionIsGivenBack(t *testing.T) {
+func TestSlotGrantedBeforeSuspensionIsReturned(t *testing.T) {
 	var total atomic.Int64
 	stepped := clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true })
 	ctl := &slotControl{at: stepped.Now()}
@@ -54,9 +54,9 @@
 	total.Add(int64(5 * time.Second))
 
 	w, req := httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/", nil)
-	v := &visit{w: w, r: req, org: &version.Organisation{}, terms: caller.Terms{ID: "r1"}, span: trace.SpanFromContext(req.Context())}
+	v := &callerRequest{w: w, r: req, org: &version.Organisation{}, terms: caller.Terms{ID: "r1"}, span: trace.SpanFromContext(req.Context())}
 	r := &run{s: s, v: v, app: &version.Application{}, ticket: ticket, ctx: req.Context()}
 	r.loop()
 	assert.Equal(t, 1, ctl.returned)
-	assert.Zero(t, r.tries, "nothing was sent")
+	assert.Zero(t, r.attempts, "nothing was sent")
 }
