--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -347,10 +347,10 @@
 	sec := r.section("limits")
 	def := request.DefaultLimits
 	s.Limits = request.Limits{
-		MaxBodyBytes:   int64(sec.Integer("body_bytes", int(def.MaxBodyBytes), minBytes, maxBytes)),
-		MaxAnswerBytes: int64(sec.Integer("answer_bytes", int(def.MaxAnswerBytes), minBytes, maxBytes)),
-		BodyTimeout:    sec.Duration("body_time", def.BodyTimeout, time.Millisecond, maxPeriod),
-		StallTimeout:   sec.Duration("stall_time", def.StallTimeout, time.Millisecond, maxPeriod),
+		Body:         int64(sec.Integer("body_bytes", int(def.Body), minBytes, maxBytes)),
+		Answer:       int64(sec.Integer("answer_bytes", int(def.Answer), minBytes, maxBytes)),
+		BodyTimeout:  sec.Duration("body_time", def.BodyTimeout, time.Millisecond, maxPeriod),
+		StallTimeout: sec.Duration("stall_time", def.StallTimeout, time.Millisecond, maxPeriod),
 	}
 	s.Header = sec.Integer("header_bytes", 32<<10, minBytes, 1<<20)
 	s.HeadTime = sec.Duration("header_time", 10*time.Second, time.Millisecond, maxPeriod)
--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -48,7 +48,7 @@
 	if p.streams && strings.HasPrefix(p.res.Response.Header.Get("Content-Type"), eventStream) {
 		return p.deliverStream()
 	}
-	raw, err := readWhole(p.res.Response, p.s.limits.MaxAnswerBytes)
+	raw, err := readWhole(p.res.Response, p.s.limits.Answer)
 	if err != nil {
 		return p.failed(p.upstream, p.attempt, relay.Result{State: relay.InDoubt, Err: err})
 	}
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -119,8 +119,8 @@
 // to be held as it comes.
 func (a *answer) plain(res *http.Response) step {
 	a.firstEvent()
-	part, err := a.s.answerBuffers.read(res.Body)
-	defer a.s.answerBuffers.release(part.reserved)
+	part, err := a.s.buffers.read(res.Body)
+	defer a.s.buffers.release(part.reserved)
 	if err != nil {
 		return a.handleBroken(err)
 	}
--- a/internal/request/forward/answerbuffer.go
+++ b/internal/request/forward/answerbuffer.go
@@ -12,7 +12,7 @@
 	MaxAnswerBytes int64 // bytes of answers held until they are whole; others are passed on as they come
 }
 
-// answerBuffers counts the bytes of answers that are held until they are whole. An answer is
+// buffers counts the bytes of answers that are held until they are whole. An answer is
 // held so that a broken one can be tried elsewhere; without a bound on their sum an
 // upstream's large answers end a router's process, and the callers' next tries the next
 // one's. It may be used by any goroutine.
--- a/internal/request/forward/answerbuffer_test.go
+++ b/internal/request/forward/answerbuffer_test.go
@@ -42,11 +42,11 @@
 				assert.Equal(t, int64(large), res.ContentLength)
 				assert.Len(t, body, large)
 			}
-			assert.LessOrEqual(t, r.server.answerBuffers.used.Load(), r.server.answerBuffers.limit)
+			assert.LessOrEqual(t, r.server.buffers.used.Load(), r.server.buffers.limit)
 		})
 	}
 	wg.Wait()
-	assert.Eventually(t, func() bool { return r.server.answerBuffers.used.Load() == 0 }, 10*time.Second, time.Millisecond, "all is given back")
+	assert.Eventually(t, func() bool { return r.server.buffers.used.Load() == 0 }, 10*time.Second, time.Millisecond, "all is given back")
 }
 
 // What is passed on as it comes is cut when it breaks, and not sent elsewhere.
@@ -69,5 +69,5 @@
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, res.StatusCode)
 	assert.Equal(t, "hello", body)
-	assert.Eventually(t, func() bool { return r.server.answerBuffers.used.Load() == 0 }, 10*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.server.buffers.used.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
--- a/internal/request/forward/failure.go
+++ b/internal/request/forward/failure.go
@@ -43,15 +43,15 @@
 }
 
 // notRun is a refusal that is true: nothing of the request ran.
-func notRun(reason string, after time.Duration) failure {
-	return failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: after}
+func notRun(reason string, retryAfter time.Duration) failure {
+	return failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
 // inDoubt is the end of a request that may have run.
-func inDoubt(reason string, timedOut bool, up string, err error) failure {
+func inDoubt(reason string, timedOut bool, upstream string, err error) failure {
 	status := http.StatusBadGateway
 	if timedOut {
 		status = http.StatusGatewayTimeout
 	}
-	return failure{status: status, reason: reason, upstream: up, err: err}
+	return failure{status: status, reason: reason, upstream: upstream, err: err}
 }
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -270,8 +270,8 @@
 	r.control.mu.Lock()
 	assert.Len(t, r.control.shed, atDoor, "each counts as asked for")
 	r.control.mu.Unlock()
-	full := newHarnessWithLimit(t, 0, a)
-	res, _, err := full.do(t, "POST", "/once/x", "body")
+	overloaded := newHarnessWithLimit(t, 0, a)
+	res, _, err := overloaded.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 503, res.StatusCode, "no room for another request")
 }
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -153,7 +153,7 @@
 }
 
 func (c *fakeControl) Again(t *Ticket, note uint8) {
-	c.recordNote(note)
+	c.note(note)
 	if c.onAgain != nil {
 		c.onAgain()
 	}
@@ -164,9 +164,9 @@
 
 func (c *fakeControl) First(*Ticket, time.Duration) {}
 
-func (c *fakeControl) End(_ *Ticket, note uint8) { c.recordNote(note) }
+func (c *fakeControl) End(_ *Ticket, note uint8) { c.note(note) }
 
-func (c *fakeControl) recordNote(n uint8) {
+func (c *fakeControl) note(n uint8) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notes = append(c.notes, n)
@@ -286,9 +286,9 @@
 	return newHarnessWithLimit(t, 100, ups...)
 }
 
-func newHarnessWithLimit(t *testing.T, most int, ups ...string) *harness {
+func newHarnessWithLimit(t *testing.T, maxRequests int, ups ...string) *harness {
 	t.Helper()
-	r := &harness{control: &fakeControl{table: testTable(t), ups: ups}, exchanges: conn.NewExchanges(), maxRequests: most}
+	r := &harness{control: &fakeControl{table: testTable(t), ups: ups}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
 	r.server = NewServer(r.control, r.exchanges, testDialect, testKey(t), Limits{MaxRequests: r.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
 	s := httptest.NewServer(r.server)
 	t.Cleanup(func() { s.Close(); r.exchanges.Close() })
--- a/internal/request/forward/healthcheck.go
+++ b/internal/request/forward/healthcheck.go
@@ -56,8 +56,8 @@
 	checks  map[string]*healthCheck // by start of an instance
 }
 
-func newHealthChecker(ups *conn.Exchanges, names Dialect, c *clock.Clock) *healthChecker {
-	return &healthChecker{ups: ups, dialect: names, clock: c, checks: map[string]*healthCheck{}}
+func newHealthChecker(ups *conn.Exchanges, dialect Dialect, c *clock.Clock) *healthChecker {
+	return &healthChecker{ups: ups, dialect: dialect, clock: c, checks: map[string]*healthCheck{}}
 }
 
 // at returns what an upstream's health says, not older than healthCheckTTL.
--- a/internal/request/forward/loadshedder.go
+++ b/internal/request/forward/loadshedder.go
@@ -41,7 +41,7 @@
 
 // refuses counts an arrival, and decides whether it is among the part of all that
 // must go. covered is the part of its organisation's arrivals that its share covers.
-func (d *loadShedder) refuses(org string, part, covered float64, now time.Time) bool {
+func (d *loadShedder) refuses(org string, fraction, covered float64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rotate(now)
@@ -51,14 +51,14 @@
 	}
 	d.now.byOrg[org]++
 	d.now.covered++
-	if part == 0 {
+	if fraction == 0 {
 		return false
 	}
 	if d.previous.covered == 0 {
-		return rand.Float64() < part
+		return rand.Float64() < fraction
 	}
-	if part != d.fraction {
-		d.fraction, d.level = part, d.maxMinLevel(part)
+	if fraction != d.fraction {
+		d.fraction, d.level = fraction, d.maxMinLevel(fraction)
 	}
 	sent := float64(d.previous.byOrg[org])
 	return sent > d.level && rand.Float64() > d.level/sent
@@ -79,13 +79,13 @@
 
 // cut finds the level at which the arrivals of the last span, each organisation's
 // counted up to it, make up what is to be let in.
-func (d *loadShedder) maxMinLevel(part float64) float64 {
+func (d *loadShedder) maxMinLevel(fraction float64) float64 {
 	counts := make([]int, 0, len(d.previous.byOrg))
 	for _, n := range d.previous.byOrg {
 		counts = append(counts, n)
 	}
 	sort.Ints(counts)
-	left := (1 - part) * float64(d.previous.covered+d.previous.beyondShare)
+	left := (1 - fraction) * float64(d.previous.covered+d.previous.beyondShare)
 	for i, n := range counts {
 		even := left / float64(len(counts)-i)
 		if float64(n) > even {
--- a/internal/request/forward/quarantine_test.go
+++ b/internal/request/forward/quarantine_test.go
@@ -20,7 +20,7 @@
 	return testKey(t).Of(fingerprint.Content{Organisation: "alpha", Method: method, Host: "h.example", Target: path, Body: []byte(body)})
 }
 
-func (c *fakeControl) quarantine(f fingerprint.Fingerprint, crashes int, until time.Time) {
+func (c *fakeControl) setQuarantined(f fingerprint.Fingerprint, crashes int, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quarantinedRequests = map[fingerprint.Fingerprint]quarantine.State{f: {Crashes: crashes, Until: until}}
@@ -30,7 +30,7 @@
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x"} {
 		addr, got := scriptedUpstream(t, okHelloAnswer)
 		r := newHarness(t, addr)
-		r.control.quarantine(fingerprintOf(t, "POST", path, "body"), 3, time.Now().Add(time.Minute))
+		r.control.setQuarantined(fingerprintOf(t, "POST", path, "body"), 3, time.Now().Add(time.Minute))
 		res, body, err := r.do(t, "POST", path, "body")
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusServiceUnavailable, res.StatusCode, "a promise that it has not run")
@@ -48,7 +48,7 @@
 func TestRequestIsSentAgainWhenItsQuarantineHasExpired(t *testing.T) {
 	addr, _ := scriptedUpstream(t, okHelloAnswer)
 	r := newHarness(t, addr)
-	r.control.quarantine(fingerprintOf(t, "POST", "/once/x", "body"), 3, time.Now().Add(-time.Second))
+	r.control.setQuarantined(fingerprintOf(t, "POST", "/once/x", "body"), 3, time.Now().Add(-time.Second))
 	res, _, err := r.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, res.StatusCode)
@@ -61,7 +61,9 @@
 	first, _ := scriptedUpstream(t, "\x00")
 	second, got := scriptedUpstream(t, okHelloAnswer)
 	r := newHarness(t, first, second)
-	r.control.onAgain = func() { r.control.quarantine(fingerprintOf(t, "GET", "/safe/x", ""), 3, time.Now().Add(time.Minute)) }
+	r.control.onAgain = func() {
+		r.control.setQuarantined(fingerprintOf(t, "GET", "/safe/x", ""), 3, time.Now().Add(time.Minute))
+	}
 	res, _, err := r.do(t, "GET", "/safe/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusBadGateway, res.StatusCode)
@@ -72,7 +74,7 @@
 	second, got = scriptedUpstream(t, eventStreamHeader+eventChunk(2)+lastChunk)
 	r = newHarness(t, first, second)
 	r.control.onAgain = func() {
-		r.control.quarantine(fingerprintOf(t, "POST", "/stream/x", "body"), 3, time.Now().Add(time.Minute))
+		r.control.setQuarantined(fingerprintOf(t, "POST", "/stream/x", "body"), 3, time.Now().Add(time.Minute))
 	}
 	_, body, err := r.do(t, "POST", "/stream/x", "body")
 	assert.Error(t, err, "cut, so that it does not look whole")
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -89,16 +89,16 @@
 }
 
 // giveUp ends a request whose time is over or whose caller is gone.
-func (r *run) giveUp(reason, up string, err error) {
+func (r *run) giveUp(reason, upstream string, err error) {
 	switch {
 	case r.r.Context().Err() != nil:
 		r.s.count.broken.Inc(1)
-		r.logEnd(failure{reason: "caller-gone", upstream: up})
+		r.logEnd(failure{reason: "caller-gone", upstream: upstream})
 		panic(http.ErrAbortHandler)
 	case r.headersSent:
 		r.abort(reason)
 	case r.mayHaveRun:
-		r.fail(inDoubt(reason, true, up, err))
+		r.fail(inDoubt(reason, true, upstream, err))
 	default:
 		r.fail(notRun(reason, unsentRetryDelay))
 	}
@@ -127,11 +127,11 @@
 	r.sentAt = r.s.clock.Now()
 	m := r.message(p)
 	m.Began = silence.watch
-	x, err := r.s.ups.Send(ctx, p.Instance.Address, m, r.isOwnAnswer)
+	exchange, err := r.s.ups.Send(ctx, p.Instance.Address, m, r.isOwnAnswer)
 	if err != nil {
 		return r.sendFailed(p, err)
 	}
-	a := &answer{run: r, placement: p, exchange: x, began: began, silence: silence, attempt: ctx}
+	a := &answer{run: r, placement: p, exchange: exchange, began: began, silence: silence, attempt: ctx}
 	return a.deliver()
 }
 
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -30,7 +30,7 @@
 	ups           *conn.Exchanges
 	dialect       Dialect
 	limit         int // requests at once
-	answerBuffers answerBuffers
+	buffers       answerBuffers
 	open          atomic.Int64
 	loadShedder   *loadShedder
 	healthChecker *healthChecker
@@ -43,9 +43,9 @@
 
 // NewServer returns the handler's state. It knows requests again by fingerprints of the
 // key.
-func NewServer(ctl Control, ups *conn.Exchanges, names Dialect, key *fingerprint.Key, most Limits, reg metrics.Registry, log zerolog.Logger) *Server {
-	s := &Server{ctl: ctl, ups: ups, dialect: names, key: key, clock: clock.System, limit: most.MaxRequests, answerBuffers: answerBuffers{limit: most.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
-	s.healthChecker = newHealthChecker(ups, names, s.clock)
+func NewServer(ctl Control, ups *conn.Exchanges, dialect Dialect, key *fingerprint.Key, limit Limits, reg metrics.Registry, log zerolog.Logger) *Server {
+	s := &Server{ctl: ctl, ups: ups, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
+	s.healthChecker = newHealthChecker(ups, dialect, s.clock)
 	ups.Heard = s.handleNotice
 	ups.Opened = func() { s.count.opened.Inc(1) }
 	ups.Fell = func(addr string, dropped int) {
@@ -70,14 +70,14 @@
 	body     []byte
 	deadline time.Time
 	prompt   prompt
-	fp       *fingerprint.Fingerprint // once it was needed
+	print    *fingerprint.Fingerprint // once it was needed
 }
 
 // fingerprint returns the name of the request's content. It costs 24 us for a body of
 // 40 KB (BenchmarkFingerprint), so it is computed when it is needed first. The body must
 // have been read.
 func (v *callerRequest) fingerprint() fingerprint.Fingerprint {
-	if v.fp == nil {
+	if v.print == nil {
 		f := v.s.key.Of(fingerprint.Content{
 			Organisation: v.org,
 			Method:       v.r.Method,
@@ -85,9 +85,9 @@
 			Target:       v.r.RequestURI,
 			Body:         v.body,
 		})
-		v.fp = &f
+		v.print = &f
 	}
-	return *v.fp
+	return *v.print
 }
 
 // startingRetryDelay is when a caller should return to a router that has no table.
--- a/internal/request/forward/watchdog.go
+++ b/internal/request/forward/watchdog.go
@@ -20,8 +20,8 @@
 const recheckInterval = 200 * time.Millisecond
 
 // newWatchdog starts one; a limit of 0 is none.
-func newWatchdog(fire func(), limit time.Duration) *watchdog {
-	w := &watchdog{onSilence: fire}
+func newWatchdog(onSilence func(), limit time.Duration) *watchdog {
+	w := &watchdog{onSilence: onSilence}
 	w.timer = time.AfterFunc(time.Hour, w.check)
 	w.reset(limit)
 	return w
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -14,7 +14,7 @@
 
 // content returns the name of what the request asks, computed when it is needed first.
 func (r *run) contentFingerprint() fingerprint.Fingerprint {
-	if r.fp == nil {
+	if r.print == nil {
 		f := r.s.fingerprintKey.Of(fingerprint.Content{
 			Organisation: r.call.Organisation,
 			Method:       r.call.Method,
@@ -22,9 +22,9 @@
 			Target:       r.call.Path,
 			Body:         r.call.Body,
 		})
-		r.fp = &f
+		r.print = &f
 	}
-	return *r.fp
+	return *r.print
 }
 
 // crashes returns what is known of the request's content. It needs a fingerprint only
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -55,11 +55,11 @@
 
 // Result is the end of one attempt up to the reply's headers.
 type Result struct {
-	State        State
-	Leaving      bool
-	Response     *http.Response
-	Err          error
-	TimeToHeader time.Duration // to the reply's headers
+	State           State
+	UpstreamLeaving bool
+	Response        *http.Response
+	Err             error
+	TimeToHeader    time.Duration // to the reply's headers
 }
 
 // Send runs one attempt. attempt is unique over all attempts of all routers.
@@ -114,7 +114,7 @@
 }
 
 func classify(res *http.Response, attempt string, first time.Duration) Result {
-	r := Result{State: Replied, Response: res, TimeToHeader: first, Leaving: res.Header.Get(HeaderLeaving) == "true"}
+	r := Result{State: Replied, Response: res, TimeToHeader: first, UpstreamLeaving: res.Header.Get(HeaderLeaving) == "true"}
 	refused := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 	switch {
 	case refused && res.Header.Get(HeaderNotStarted) == "true":
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -40,7 +40,7 @@
 	attempts   int
 	mayHaveRun bool                     // an attempt may have run
 	sentAt     time.Time                // of the last attempt, by the server's clock
-	fp         *fingerprint.Fingerprint // once it was needed
+	print      *fingerprint.Fingerprint // once it was needed
 }
 
 // loop waits for a slot and tries, until there is an outcome.
@@ -104,7 +104,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	res := relay.Send(ctx, r.s.ups, u, id, r.call)
-	if res.Leaving {
+	if res.UpstreamLeaving {
 		r.s.ctl.UpstreamLeaving(u.ID)
 	}
 	switch res.State {
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -30,18 +30,18 @@
 
 // Limits on what callers may send.
 type Limits struct {
-	MaxBodyBytes   int64         // bytes of one body
-	MaxAnswerBytes int64         // bytes of one answer that is not a stream
-	BodyTimeout    time.Duration // to send the body
-	StallTimeout   time.Duration // longest pause of an upstream's stream
+	Body         int64         // bytes of one body
+	Answer       int64         // bytes of one answer that is not a stream
+	BodyTimeout  time.Duration // to send the body
+	StallTimeout time.Duration // longest pause of an upstream's stream
 }
 
 // DefaultLimits suit syllabi of a few hundred pages.
 var DefaultLimits = Limits{
-	MaxBodyBytes:   4 << 20,
-	MaxAnswerBytes: 16 << 20,
-	BodyTimeout:    20 * time.Second,
-	StallTimeout:   30 * time.Second,
+	Body:         4 << 20,
+	Answer:       16 << 20,
+	BodyTimeout:  20 * time.Second,
+	StallTimeout: 30 * time.Second,
 }
 
 // Server answers callers. It may be used by any goroutine.
@@ -254,7 +254,7 @@
 func (s *Server) readBody(v *callerRequest) ([]byte, error) {
 	rc := http.NewResponseController(v.w)
 	_ = rc.SetReadDeadline(time.Now().Add(s.limits.BodyTimeout)) // not supported by test recorders
-	raw, err := io.ReadAll(http.MaxBytesReader(v.w, v.r.Body, s.limits.MaxBodyBytes))
+	raw, err := io.ReadAll(http.MaxBytesReader(v.w, v.r.Body, s.limits.Body))
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
 		return raw, nil
@@ -270,7 +270,7 @@
 
 // serve waits for a slot, carries the request, and tells the outcome.
 func (s *Server) serve(v *callerRequest, app *version.Application, call relay.Call, streams bool) {
-	key, err := s.idempotencyKey(v, app)
+	idempotencyKey, err := s.idempotencyKey(v, app)
 	v.keyUndecided = false // no key that runs once, or the witnesses will rule on it
 	if err != nil {
 		s.failRequest(v, err)
@@ -288,7 +288,7 @@
 	call.Repeatable = app.Idempotent
 	run := &run{s: s, v: v, app: app, call: call, streams: streams, ctx: ctx, deadline: deadline}
 	if left := run.quarantinedFor(); left > 0 {
-		run.refuseQuarantined(left, key != nil)
+		run.refuseQuarantined(left, idempotencyKey != nil)
 		return
 	}
 	run.ticket = s.ctl.Submit(entry.Request{
@@ -296,7 +296,7 @@
 		App:      app.Name,
 		Urgent:   v.terms.Urgent || app.Priority == version.PriorityUrgent,
 		Deadline: deadline,
-	}, key)
+	}, idempotencyKey)
 	run.loop()
 }
 
