--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -36,7 +36,7 @@
 }
 
 var (
-	errForeign        = errors.New("the answer is not the upstream's own")
+	errForeign        = errors.New("the answer has no proof of the upstream, or is content-encoded")
 	errNotResumed     = errors.New("the upstream did not resume the stream")
 	errUnprovenNotRun = errors.New("the upstream's status says that the request did not run, but it may have run")
 )
@@ -219,7 +219,7 @@
 				continue // forwarded before the stream broke
 			}
 			if a.lastPosition > 0 && e.Position != a.lastPosition+1 {
-				return a.handleBroken(errors.New("an event is missing"))
+				return a.handleBroken(errors.New("the stream skips an event position"))
 			}
 			a.lastPosition = e.Position
 		}
--- a/internal/request/forward/answerbuffer_test.go
+++ b/internal/request/forward/answerbuffer_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sized is an answer of so many bytes, cut before the last when it is torn.
+// answerOfSize returns an answer of n bytes. If torn, the connection is cut before the last.
 func answerOfSize(n int, torn bool) string {
 	body := strings.Repeat("a", n)
 	if torn {
@@ -21,8 +21,9 @@
 	return okHeader + "Content-Length: " + strconv.Itoa(n) + "\r\n\r\n" + body
 }
 
-// Many large answers come at once to a router with a bound of 1 MB on what it holds. It
-// held each whole, up to 16 MB, and more than that it could not pass on at all.
+// Several large answers arrive at once at a router that may buffer 1 MB in total. It must
+// forward them as they arrive. Buffering each whole up to 16 MB exceeds that limit, and
+// answers above 16 MB could not be forwarded at all.
 func TestLargeAnswersAreStreamedNotBuffered(t *testing.T) {
 	const (
 		callers = 3
@@ -46,10 +47,11 @@
 		})
 	}
 	wg.Wait()
-	assert.Eventually(t, func() bool { return r.server.buffers.used.Load() == 0 }, 10*time.Second, time.Millisecond, "all is given back")
+	assert.Eventually(t, func() bool { return r.server.buffers.used.Load() == 0 }, 10*time.Second, time.Millisecond, "all buffers are released")
 }
 
-// What is passed on as it comes is cut when it breaks, and not sent elsewhere.
+// An answer that is forwarded as it arrives and breaks is cut; the request is not sent to
+// another upstream.
 func TestLargeAnswerThatBreaksIsCut(t *testing.T) {
 	first, _ := scriptedUpstream(t, answerOfSize(4<<20, true))
 	second, got := scriptedUpstream(t, okHelloAnswer)
@@ -60,7 +62,8 @@
 	assert.Eventually(t, func() bool { return len(r.control.recordedNotes()) == 1 }, 10*time.Second, time.Millisecond)
 }
 
-// A small answer that breaks is tried elsewhere: it is held until it is whole.
+// A small answer is buffered until it is whole, so the request is sent elsewhere if the
+// answer breaks.
 func TestSmallAnswerThatBreaksIsRetriedElsewhere(t *testing.T) {
 	first, _ := scriptedUpstream(t, answerOfSize(100<<10, true))
 	second, _ := scriptedUpstream(t, okHelloAnswer)
--- a/internal/request/forward/bench_test.go
+++ b/internal/request/forward/bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/silverswitch/silverswitch/internal/conn"
 )
 
-// BenchmarkShedRequest is one request of 9 KB on a new connection, refused before its
-// body is read: 167 us with the caller's own work, of which 13 are this package's and the
-// rest net/http's, the kernel's and the caller's (processor profile of 20,000).
+// BenchmarkShedRequest measures a request of 9 KB on a new connection that is refused before
+// its body is read. It takes 167 us with the caller's own work: 13 us in this package, the
+// rest in net/http, the kernel and the caller (CPU profile of 20,000 requests).
 func BenchmarkShedRequest(b *testing.B) {
 	ctl := &fakeControl{table: testTable(b)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -25,12 +25,12 @@
 	q := got()[0]
 	assert.Equal(t, "/once/a%2Fb?q=1", q.RequestURI)
 	assert.Equal(t, "h.example", q.Host)
-	assert.Equal(t, "alpha", q.Header.Get("X-Org"), "the router's word, not the caller's")
-	assert.Empty(t, q.Header.Get("Authorization"), "keys never pass")
+	assert.Equal(t, "alpha", q.Header.Get("X-Org"), "set by the router, not the caller")
+	assert.Empty(t, q.Header.Get("Authorization"), "API keys are never forwarded")
 	assert.Empty(t, q.Header.Get("X-Router-Only"))
 	assert.Equal(t, "kept", q.Header.Get("X-Other"))
 	assert.Equal(t, "i-0", q.Header.Get("X-Expect"))
-	assert.Less(t, len(q.Header.Get("X-Left-Ms")), 4, "what is left, not more than the caller gave")
+	assert.Less(t, len(q.Header.Get("X-Left-Ms")), 4, "the time left, not more than the caller gave")
 	assert.Equal(t, []uint8{wire.NoteDone}, r.control.recordedNotes())
 }
 
@@ -57,7 +57,7 @@
 	r.control.table = nil
 	res, _, err = r.do(t, "POST", "/once/x", "")
 	require.NoError(t, err)
-	assert.Equal(t, 503, res.StatusCode, "a router without a table promises that nothing ran")
+	assert.Equal(t, 503, res.StatusCode, "without a table nothing ran")
 	assert.NotEmpty(t, res.Header.Get("Retry-After"))
 }
 
@@ -81,7 +81,7 @@
 			r := newHarness(t, a, b)
 			res, _, err := r.do(t, "POST", "/once/x", "body")
 			require.NoError(t, err)
-			assert.Equal(t, 502, res.StatusCode, "it may have run: no promise")
+			assert.Equal(t, 502, res.StatusCode, "it may have run")
 			assert.Empty(t, gotB())
 		})
 	}
@@ -114,9 +114,9 @@
 	assert.Equal(t, 502, res.StatusCode)
 }
 
-// An upstream ran an order and answered 503 with its proof, without the header that says it
-// did not run it. Passed on, that status promised the caller that the order never ran, and
-// the caller placed it again.
+// An upstream runs a request and answers 503 with its proof, but without the header that
+// says that it did not run the request. If that status were forwarded, it would tell the
+// caller that the request never ran, and the caller would send it again.
 func TestUpstreamStatusMeaningNotRunIsReplacedUnlessProven(t *testing.T) {
 	for _, status := range []string{"429 Too Many Requests", "503 Service Unavailable", "408 Request Timeout"} {
 		answer := "HTTP/1.1 " + status + "\r\nX-Id: %ID\r\nX-Proof: p\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\nno"
@@ -124,14 +124,14 @@
 		res, _, err := newHarness(t, up).do(t, "POST", "/once/x", "body")
 		require.NoError(t, err)
 		assert.Equal(t, 502, res.StatusCode, status)
-		assert.Empty(t, res.Header.Get("X-Proof"), "the status is not the upstream's")
+		assert.Empty(t, res.Header.Get("X-Proof"), "the status is the router's")
 		assert.Empty(t, res.Header.Get("Retry-After"))
 
 		safe, _ := scriptedUpstream(t, answer)
 		res, body, err := newHarness(t, safe).do(t, "GET", "/safe/x", "")
 		require.NoError(t, err)
-		if status[:3] != "503" { // which is tried elsewhere
-			assert.Equal(t, status[:3], res.Status[:3], "a request that may be repeated gets the answer as it is")
+		if status[:3] != "503" { // 503 is retried elsewhere
+			assert.Equal(t, status[:3], res.Status[:3], "the answer to a repeatable request is forwarded as it is")
 			assert.Equal(t, "no", body)
 		}
 	}
@@ -178,8 +178,8 @@
 	assert.Equal(t, "2", got()[0].Header.Get("Last-Event-Id"))
 }
 
-// The upstream that was to resume a
-// stream answered 500, and its answer's end was passed on as the stream's.
+// The upstream that is asked to resume a stream answers something else, such as status 500.
+// The end of that answer must not be forwarded as the end of the stream.
 func TestStreamThatCannotBeResumedIsCut(t *testing.T) {
 	for name, second := range map[string]string{
 		"status 500":   "HTTP/1.1 500 Oops\r\nX-Id: %ID\r\nX-Proof: p\r\nContent-Length: 4\r\n\r\noops",
@@ -247,18 +247,18 @@
 	<-ended
 }
 
-// A small router that got most of its place's callers took
-// them all, and answered none in time.
+// A small router that gets most of its place's callers must not accept them all, or it
+// answers none in time.
 func TestOverloadedRouterRefusesAtOnce(t *testing.T) {
 	a, got := scriptedUpstream(t, okHelloAnswer)
 	r := newHarness(t, a)
 	r.control.overloaded.Store(true)
-	refused, atDoor := 0, 0
+	refused, shedCount := 0, 0
 	for range 20 {
 		res, body, err := r.do(t, "POST", "/once/x", "body")
 		require.NoError(t, err)
 		if body == "router-overloaded\n" {
-			atDoor++
+			shedCount++
 		}
 		if res.StatusCode == 503 {
 			refused++
@@ -268,7 +268,7 @@
 	assert.GreaterOrEqual(t, refused, 12)
 	assert.LessOrEqual(t, len(got()), 20-refused)
 	r.control.mu.Lock()
-	assert.Len(t, r.control.shed, atDoor, "each counts as asked for")
+	assert.Len(t, r.control.shed, shedCount, "each is counted as demand")
 	r.control.mu.Unlock()
 	overloaded := newHarnessWithLimit(t, 0, a)
 	res, _, err := overloaded.do(t, "POST", "/once/x", "body")
@@ -281,14 +281,13 @@
 	assert.Equal(t, 1460, p.input)
 	assert.Equal(t, 40, p.output)
 	require.Len(t, p.parts, 3)
-	assert.Equal(t, wire.PromptPart{Part: PartID("91"), Tokens: 410}, p.parts[1], "as engines name it")
+	assert.Equal(t, wire.PromptPart{Part: PartID("91"), Tokens: 410}, p.parts[1], "engines report it under the same id")
 	bad := testDialect.readPrompt(http.Header{"X-Usage": {"-5,x"}, "X-Parts": {"5c:-1,zz"}})
 	assert.Equal(t, prompt{}, bad)
 }
 
-// A request spent a third of a second in
-// a busy router between its placing and its sending, and the upstream's leaving
-// became known meanwhile.
+// A busy router takes a third of a second between the placement of a request and sending
+// it. If the upstream announces meanwhile that it is leaving, the request goes elsewhere.
 func TestNothingIsSentToUpstreamThatLeftBeforeSend(t *testing.T) {
 	a, gotA := scriptedUpstream(t, okHelloAnswer)
 	b, gotB := scriptedUpstream(t, okHelloAnswer)
@@ -306,6 +305,6 @@
 	gone.control.leftInstances = map[string]bool{"i-0": true, "i-1": true, "i-2": true, "i-3": true, "i-4": true}
 	res, _, err = gone.do(t, "POST", "/once/x", "body")
 	require.NoError(t, err)
-	assert.Equal(t, 503, res.StatusCode, "nothing was sent: the refusal is true")
+	assert.Equal(t, 503, res.StatusCode, "nothing was sent, so the request has not run")
 	assert.Empty(t, gotA())
 }
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -31,19 +31,19 @@
 	RouterOnly: []string{"X-Router-Only"},
 }
 
-// failedHealthCheck is a look that kept a request from an upstream.
+// failedHealthCheck is a health check that kept a request from an upstream.
 type failedHealthCheck struct {
 	id      string
 	coldFor time.Duration
 }
 
-// reportedBackoff is a time for which an upstream wanted nothing.
+// reportedBackoff is a backoff that an upstream asked for.
 type reportedBackoff struct {
 	start string
 	d     time.Duration
 }
 
-// fakeControl places requests at its upstreams in order, then refuses.
+// fakeControl places requests at its upstreams in order. When all are used it refuses.
 type fakeControl struct {
 	mu            sync.Mutex
 	table         *routing.Table
@@ -51,7 +51,7 @@
 	next          int
 	notes         []uint8
 	stopping      atomic.Bool
-	overloaded    atomic.Bool // excess of nine in ten
+	overloaded    atomic.Bool // nine in ten requests are to be shed
 	shed          []dispatch.TurnedWork
 	leftInstances map[string]bool // instances that have left
 
@@ -59,12 +59,12 @@
 	broke               []dispatch.Broke
 	refusedConnections  []string // instances that refused connections
 	answeredWhole       []fingerprint.Fingerprint
-	onAgain             func() // called before another upstream is given; may be nil
+	onAgain             func() // called before another placement is made; may be nil
 	looked              []failedHealthCheck
 	backoffs            []reportedBackoff
-	leavingStarts       []string // starts that said that they leave
-	healthCheckFirst    bool     // upstreams are to be looked at first
-	neverPlaceAgain     bool     // no other upstream is given
+	leavingStarts       []string // starts of upstreams that announced that they are leaving
+	healthCheckFirst    bool     // placements require a health check
+	neverPlaceAgain     bool     // Again gets no decision
 }
 
 func (c *fakeControl) Table() *routing.Table { return c.table }
@@ -199,8 +199,9 @@
 	return table
 }
 
-// script is an upstream that answers each connection's requests with raw bytes;
-// %ID is the request's id. An answer ending in "\x00" cuts the connection.
+// scriptedUpstream starts an upstream that answers each request with the next of the raw
+// answers. %ID is replaced by the request's id. An answer that ends in "\x00" closes the
+// connection. got returns the requests received.
 func scriptedUpstream(t *testing.T, answers ...string) (addr string, got func() []*http.Request) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -270,7 +271,7 @@
 	return key
 }
 
-// rig is a server under test in front of scripted upstreams.
+// harness is a Server under test in front of scripted upstreams.
 type harness struct {
 	control   *fakeControl
 	url       string
--- a/internal/request/forward/healthcheck_test.go
+++ b/internal/request/forward/healthcheck_test.go
@@ -12,7 +12,7 @@
 
 const healthyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A router that is cut off asks an upstream's health before it sends a request there.
+// A router that is cut off checks an upstream's health before it sends a request there.
 func TestColdUpstreamIsSkippedAfterHealthCheck(t *testing.T) {
 	cold, gotCold := scriptedUpstream(t, "HTTP/1.1 503 Busy\r\nX-Cold: 1500\r\nContent-Length: 0\r\n\r\n")
 	warm, gotWarm := scriptedUpstream(t, healthyAnswer, okHelloAnswer)
@@ -23,7 +23,7 @@
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "hello", body)
 	assert.Equal(t, []failedHealthCheck{{"i-0", 1500 * time.Millisecond}}, r.control.looked)
-	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.control.recordedNotes(), "nothing was sent there, so it is no repeat")
+	assert.Equal(t, []uint8{wire.NoteUnused, wire.NoteDone}, r.control.recordedNotes(), "nothing was sent there, so this is no retry")
 	require.Len(t, gotCold(), 1)
 	assert.Equal(t, "/health", gotCold()[0].RequestURI)
 	require.Len(t, gotWarm(), 2)
@@ -31,9 +31,9 @@
 }
 
 func TestUnreachableUpstreamIsSkippedAfterHealthCheck(t *testing.T) {
-	mute, _ := scriptedUpstream(t, "\x00")
+	unreachable, _ := scriptedUpstream(t, "\x00")
 	warm, _ := scriptedUpstream(t, healthyAnswer, okHelloAnswer)
-	r := newHarness(t, mute, warm)
+	r := newHarness(t, unreachable, warm)
 	r.control.healthCheckFirst = true
 	res, _, err := r.do(t, "POST", "/once/x", "text")
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	assert.Equal(t, []failedHealthCheck{{"i-0", 0}}, r.control.looked)
 }
 
-// One look serves the requests of half a second.
+// The result of one health check is used for half a second.
 func TestHealthCheckIsReused(t *testing.T) {
 	up, got := scriptedUpstream(t, healthyAnswer, okHelloAnswer, okHelloAnswer)
 	r := newHarness(t, up, up)
--- a/internal/request/forward/loadshedder_test.go
+++ b/internal/request/forward/loadshedder_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// One organisation's flood overloaded a router, and
-// the router refused everyone there alike.
+// A flood from one organisation overloads a router. The router must not shed the requests
+// of all organisations alike.
 func TestFloodingOrganisationIsShedFirst(t *testing.T) {
 	d := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
-	const part = 0.5 // of everything is to go
+	const fraction = 0.5 // of all requests are to be refused
 	refused, sent := map[string]int{}, map[string]int{}
 	for i := range 20_000 {
 		now = now.Add(time.Millisecond)
@@ -21,26 +21,26 @@
 			org = "small"
 		}
 		sent[org]++
-		if d.refuses(org, part, 1, now) {
+		if d.refuses(org, fraction, 1, now) {
 			refused[org]++
 		}
 	}
 	assert.Less(t, refused["small"], sent["small"]/20)
 	all := float64(refused["flood"]+refused["small"]) / 20_000
 	assert.InDelta(t, 0.5, all, 0.05)
-	assert.False(t, d.refuses("flood", 0, 1, now), "a router that keeps up refuses nobody")
-	late := 0
+	assert.False(t, d.refuses("flood", 0, 1, now), "a router that is not overloaded refuses nothing")
+	shed := 0
 	for range 100 {
 		if d.refuses("flood", 0.9, 1, now) {
-			late++
+			shed++
 		}
 	}
-	assert.Greater(t, late, 70)
+	assert.Greater(t, shed, 70)
 }
 
-// A router asked its scheduler for a place for each of 2,000 requests a second of an
-// organisation whose share covered 25, and read the answers too late. What shares do not
-// cover goes first; if that is enough nothing else is refused.
+// A router sent a placement request to its scheduler for each of 2,000 requests a second
+// from an organisation whose share covered 25, and read the replies too late. Requests beyond
+// the shares are shed first; if that is enough, nothing else is refused.
 func TestRequestsBeyondSharesAreShedFirst(t *testing.T) {
 	d := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
@@ -57,6 +57,6 @@
 		}
 	}
 	assert.InDelta(t, 0.95, float64(refused["flood"])/float64(sent["flood"]), 0.02)
-	assert.Less(t, refused["large"], sent["large"]/20, "though it sends most of what is covered")
-	assert.True(t, d.refuses("flood", 0, 0, now), "also when the processor has caught up")
+	assert.Less(t, refused["large"], sent["large"]/20, "although it sends most of the requests within shares")
+	assert.True(t, d.refuses("flood", 0, 0, now), "also while the CPU keeps up")
 }
--- a/internal/request/forward/notice_test.go
+++ b/internal/request/forward/notice_test.go
@@ -22,8 +22,8 @@
 	assert.Equal(t, notice{leaving: true}, read(answer(200, "X-Leaving", "1")))
 	assert.Equal(t, notice{leaving: true}, read(answer(500, "X-Leaving", "1")))
 	assert.Equal(t, notice{leaving: true, backoff: 3 * time.Second}, read(answer(503, "X-Leaving", "1", "Retry-After", "3")))
-	assert.Equal(t, notice{}, read(answer(421, "X-Leaving", "1")), "another upstream's")
-	assert.Equal(t, notice{}, read(answer(200, "Retry-After", "3")), "it has not turned the request away")
+	assert.Equal(t, notice{}, read(answer(421, "X-Leaving", "1")), "sent by another upstream")
+	assert.Equal(t, notice{}, read(answer(200, "Retry-After", "3")), "the request was not refused")
 	assert.Equal(t, notice{}, read(answer(200, "X-Leaving", "0")))
 }
 
@@ -33,17 +33,17 @@
 	}
 }
 
-// Notices on health answers and on refusals were passed over.
+// Notices must also be read from health answers and from refusals.
 func TestNoticesAreReadFromEveryAnswer(t *testing.T) {
-	tired, _ := scriptedUpstream(t,
+	leaving, _ := scriptedUpstream(t,
 		"HTTP/1.1 200 OK\r\nX-Leaving: 1\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.1 503 Service Unavailable\r\nX-Id: %ID\r\nX-Not-Run: 1\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n")
 	other, _ := scriptedUpstream(t, healthyAnswer, "HTTP/1.1 200 OK\r\nX-Id: %ID\r\nX-Proof: p\r\nX-Leaving: 1\r\nContent-Length: 5\r\n\r\nhello")
-	r := newHarness(t, tired, other)
+	r := newHarness(t, leaving, other)
 	r.control.healthCheckFirst = true
 	res, _, err := r.do(t, "POST", "/once/x", "text")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
-	assert.Equal(t, []string{"i-0", "i-1"}, r.control.leavingStarts, "the one by its health, the other by its answer")
+	assert.Equal(t, []string{"i-0", "i-1"}, r.control.leavingStarts, "the first on its health answer, the second on its answer")
 	assert.Equal(t, []reportedBackoff{{"i-0", 3 * time.Second}}, r.control.backoffs)
 }
--- a/internal/request/forward/quarantine_test.go
+++ b/internal/request/forward/quarantine_test.go
@@ -14,7 +14,7 @@
 	"github.com/silverswitch/silverswitch/internal/fingerprint"
 )
 
-// fingerprintOf is the fingerprint of a request as the rig's callers send it.
+// fingerprintOf returns the fingerprint of a request as harness.do sends it.
 func fingerprintOf(t *testing.T, method, path, body string) fingerprint.Fingerprint {
 	t.Helper()
 	return testKey(t).Of(fingerprint.Content{Organisation: "alpha", Method: method, Host: "h.example", Target: path, Body: []byte(body)})
@@ -33,7 +33,7 @@
 		r.control.setQuarantined(fingerprintOf(t, "POST", path, "body"), 3, time.Now().Add(time.Minute))
 		res, body, err := r.do(t, "POST", path, "body")
 		require.NoError(t, err)
-		assert.Equal(t, http.StatusServiceUnavailable, res.StatusCode, "a promise that it has not run")
+		assert.Equal(t, http.StatusServiceUnavailable, res.StatusCode, "it has not run")
 		assert.Equal(t, reasonQuarantined+"\n", body)
 		after, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 		require.NoError(t, err)
@@ -55,8 +55,8 @@
 	assert.Equal(t, []fingerprint.Fingerprint{fingerprintOf(t, "POST", "/once/x", "body")}, r.control.answeredWhole, "its answer clears it")
 }
 
-// A request may come to be held while it is at an upstream: what this try has sent may
-// have run, so its end promises nothing, and nothing more is sent.
+// A request may become quarantined while it is at an upstream. The attempt may have run, so
+// the outcome must not say that it did not, and no further attempt is made.
 func TestRequestQuarantinedDuringAnAttemptIsNotSentAgain(t *testing.T) {
 	first, _ := scriptedUpstream(t, "\x00")
 	second, got := scriptedUpstream(t, okHelloAnswer)
--- a/internal/request/forward/suspend_test.go
+++ b/internal/request/forward/suspend_test.go
@@ -14,9 +14,9 @@
 	"github.com/silverswitch/silverswitch/internal/clock"
 )
 
-// The VM is suspended for 1.5 s while a request of 2 s waits for a second upstream: what
-// is handed down is what its caller still waits, and when nothing is left it ends at once
-// in place of when Go's timers would come to it.
+// The VM is suspended for 1.5 s while a request with a deadline of 2 s waits for a second
+// upstream. The upstream must get the time that is really left. If none is left, the request
+// must end at once rather than when Go's timers, which stop during a suspension, run out.
 func TestTimeSuspendedIsDeductedFromDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		suspended time.Duration
@@ -42,7 +42,7 @@
 			res, _, err := r.do(t, "GET", "/safe/x", "", "X-Left-Ms", "2000")
 			require.NoError(t, err)
 			assert.Equal(t, c.status, res.StatusCode)
-			assert.Less(t, time.Since(began), 1900*time.Millisecond, "not held until Go's timers run out")
+			assert.Less(t, time.Since(began), 1900*time.Millisecond, "must not wait for Go's timers")
 			require.Len(t, got(), c.sent)
 			for _, sent := range got() {
 				left, err := strconv.Atoi(sent.Header.Get("X-Left-Ms"))
--- a/internal/request/forward/watchdog_test.go
+++ b/internal/request/forward/watchdog_test.go
@@ -17,9 +17,8 @@
 	"github.com/silverswitch/silverswitch/internal/conn"
 )
 
-// A router short of processor did not
-// get to read its streams for a second, took the upstreams for silent, and cut
-// streams whose events lay in its own sockets.
+// An overloaded router may not get to read its streams for a second. It must not take the
+// upstreams for silent and cut streams whose events lie unread in its own sockets.
 func TestWatchdogDoesNotFireWhileBytesAreUnread(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,20 +39,20 @@
 	require.NoError(t, err)
 	require.Eventually(t, x.Waiting, 10*time.Second, time.Millisecond)
 	w.check()
-	assert.Zero(t, fired.Load(), "its bytes wait here")
+	assert.Zero(t, fired.Load(), "received bytes are unread")
 	_, _ = io.CopyN(io.Discard, x.Response.Body, 50_000)
 	assert.Eventually(t, func() bool { return fired.Load() == 1 }, 10*time.Second, 10*time.Millisecond, "read, and then silent")
 }
 
-// A stream that falls silent midway is resumed elsewhere, and what is kept on its
-// path is given up.
+// A stream that falls silent midway is resumed elsewhere, and the idle connections to the
+// silent upstream are closed.
 func TestSilentStreamIsResumedAndItsConnectionsClosed(t *testing.T) {
 	event := func(i int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", i) }
 	head := okHeader + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	silent, _ := scriptedUpstream(t, head+chunk(event(1)))
-	rest, got := scriptedUpstream(t, head+chunk(event(2))+"0\r\n\r\n")
-	r := newHarness(t, silent, rest)
+	other, got := scriptedUpstream(t, head+chunk(event(2))+"0\r\n\r\n")
+	r := newHarness(t, silent, other)
 	var fell atomic.Int64
 	r.exchanges.Fell = func(string, int) { fell.Add(1) }
 	res, body, err := r.do(t, "POST", "/stream/x", "body")
