--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -25,7 +25,7 @@
 	eventStream       = "text/event-stream"
 )
 
-// passage is an upstream's reply on its way to the caller.
+// answer is an upstream's reply while it is forwarded to the caller.
 type answer struct {
 	*run
 	upstream   *version.Upstream
@@ -36,13 +36,12 @@
 	began      time.Time
 	next       int64 // position of the next event
 	events     int64
-	tokens     int64 // from the answer's usage, 0 when it told none
-	headerSent bool  // the head has gone to the caller
+	tokens     int64 // from the answer's usage field, 0 if it has none
+	headerSent bool  // to the caller
 	buf        []byte
 }
 
-// deliver passes the reply on. It returns false when the request is to be tried
-// again.
+// deliver forwards the reply. It returns false if the request is to be tried again.
 func (p *answer) deliver() bool {
 	defer func() { p.res.Response.Body.Close() }()
 	if p.streams && strings.HasPrefix(p.res.Response.Header.Get("Content-Type"), eventStream) {
@@ -62,8 +61,9 @@
 	return true
 }
 
-// settle ends the slot with the service really received. An answered request
-// counts its worth, or its tokens; an unanswered one its tokens alone.
+// finishWithUsage releases the slot and records the service received, in the application's
+// unit: tokens, or the application's worth per answered request (an unanswered one counts
+// nothing).
 func (p *answer) finishWithUsage(answered bool) {
 	tokens := float64(max(p.tokens, p.events))
 	if p.app.Unit == version.UnitAnswered {
@@ -84,7 +84,7 @@
 	return s
 }
 
-// usage reads the tokens an answer says it cost, or 0.
+// usage returns the completion tokens that an answer states, or 0.
 func usage(raw []byte) int64 {
 	var u struct {
 		Usage struct {
@@ -97,10 +97,10 @@
 	return u.Usage.Tokens
 }
 
-// deliverStream passes events on as they come, resuming at the exact position
-// when the upstream's connection ends early. A stream is whole when its final
-// event has come; otherwise the caller's connection is aborted, so that no
-// client takes a part for the whole.
+// deliverStream forwards events as they arrive, and resumes at the exact position if the
+// upstream's connection ends early. A stream is whole when its final event has arrived.
+// Otherwise the caller's connection is aborted, so that no client takes a part of the answer
+// for the whole.
 func (p *answer) deliverStream() bool {
 	for resumes := 0; ; resumes++ {
 		done, err := p.copyEvents()
@@ -120,6 +120,7 @@
 	}
 }
 
+// complete ends a stream that was forwarded whole. The outcome is sent as a trailer.
 func (p *answer) complete() {
 	p.answeredWhole()
 	p.finishWithUsage(true)
@@ -131,7 +132,7 @@
 // errCallerGone is a failure to write to the caller.
 var errCallerGone = io.ErrClosedPipe
 
-// pump passes events until the final one or the connection's end.
+// copyEvents forwards events until the final one or the end of the connection.
 func (p *answer) copyEvents() (done bool, err error) {
 	br := bufio.NewReaderSize(p.res.Response.Body, streamBufferBytes)
 	body := p.res.Response.Body
@@ -160,8 +161,8 @@
 	}
 }
 
-// place checks an event's position: a repeated one is dropped, a gap ends the
-// connection so that the stream is resumed where it broke off.
+// checkPosition reports whether to forward an event. A repeated event is dropped. A gap is
+// an error, after which the stream is resumed at the missing position.
 func (p *answer) checkPosition(e stream.Event) (bool, error) {
 	if e.Position == stream.NoPosition {
 		return true, nil
@@ -191,7 +192,8 @@
 	return http.NewResponseController(p.v.w).Flush()
 }
 
-// count charges as the tokens stream, so that a long answer weighs at once.
+// countTokens updates the service received with each event, so that a long answer counts
+// while it is still running.
 func (p *answer) countTokens(data []byte) {
 	if strings.Contains(string(data), `"usage"`) {
 		if n := usage(data); n > 0 {
@@ -205,7 +207,9 @@
 	}
 }
 
-// resume opens the stream again at the next position.
+// resume reopens the stream at the next position. It returns false if the stream cannot be
+// resumed. If the upstream does not reply it returns true: the old body is closed, so the
+// next read fails and resume is called again, up to maxResumes times.
 func (p *answer) resume() bool {
 	p.res.Response.Body.Close()
 	p.s.count.resumed.Inc(1)
@@ -224,8 +228,8 @@
 	return r.Response.StatusCode == http.StatusOK
 }
 
-// callerGone cancels at the upstream; the slot is free when it has confirmed, or
-// the bound on that has passed.
+// callerGone cancels the request at the upstream. The slot is released once the upstream
+// has confirmed that, or relay.Cancel has timed out.
 func (p *answer) callerGone() bool {
 	p.stop()
 	p.reportBrokenAttempt(p.upstream, p.events == 0)
@@ -235,7 +239,7 @@
 	return true
 }
 
-// broken ends a stream that cannot be made whole.
+// failStream ends a stream that cannot be completed.
 func (p *answer) failStream() bool {
 	p.stop()
 	relay.Cancel(p.s.ups, p.upstream, p.attempt, p.call.Organisation)
@@ -246,5 +250,5 @@
 	p.finishWithUsage(false)
 	p.s.count.outcome(outcome.Unknown, outcome.ReasonBroken)
 	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Unknown)))
-	panic(http.ErrAbortHandler) // net/http's way to break a connection visibly
+	panic(http.ErrAbortHandler) // makes net/http abort the connection, which the caller sees
 }
--- a/internal/request/caller/caller.go
+++ b/internal/request/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller reads who calls and under which terms, from headers alone, so
-// that places are decided before a byte of content is read.
+// Package caller reads the organisation and the terms of a request from its headers alone,
+// so that the place rule is applied before any content is read.
 package caller
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Headers by which a caller sets terms.
+// Headers by which a caller sets the terms of a request.
 const (
 	HeaderKey      = "Idempotency-Key"
 	HeaderTimeout  = "Request-Timeout" // seconds, a decimal number
@@ -25,12 +25,12 @@
 
 const (
 	maxRequestIDBytes = 128
-	maxUrgentUrgency  = 2 // u=0 to u=2 go first inside the organisation's share
+	maxUrgentUrgency  = 2 // u=0 to u=2 are served first within the organisation's share
 	minTimeout        = 10 * time.Millisecond
 	maxTimeout        = 2 * time.Hour
 )
 
-// Terms are what the headers of one request say.
+// Terms are the terms of one request, read from its headers.
 type Terms struct {
 	ID      string // the caller's request id, or a new one
 	Key     string // idempotency key, or ""
@@ -51,7 +51,8 @@
 	return o, nil
 }
 
-// RequestID returns the caller's request id if it is printable, else a new one.
+// RequestID returns the caller's request id. If it is missing, too long or not printable, a
+// new one is returned.
 func RequestID(r *http.Request) string {
 	id := r.Header.Get(outcome.HeaderRequestID)
 	if id == "" || len(id) > maxRequestIDBytes || !isPrintable(id) {
@@ -90,7 +91,7 @@
 	return t, nil
 }
 
-// urgency reads the u parameter of a Priority header; the default is 3.
+// parseUrgency returns the u parameter of a Priority header; the default is 3.
 func parseUrgency(text string) (int, error) {
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/request/control.go
+++ b/internal/request/control.go
@@ -1,5 +1,6 @@
-// Package request holds what lives as long as one caller's request: reading it,
-// waiting for its slot, carrying it to an upstream, and telling the outcome.
+// Package request is the HTTP request path for applications: it reads a caller's request,
+// waits for a slot, sends the request to an upstream and returns the outcome. Its state
+// lives as long as one request.
 package request
 
 import (
@@ -17,44 +18,47 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Control is the router's control state as requests see it. Every method may be
-// called by any goroutine.
+// Control is the router's control state as the request path uses it. Its methods are safe
+// for concurrent use.
 type Control interface {
-	// Version returns the version in force, or nil.
+	// Version returns the configuration version in force, or nil.
 	Version() *version.Version
-	// Place returns the place this router stands in.
+	// Place returns the place (failure domain) of this router.
 	Place() string
-	// Redirect returns a live router's public address in one of the places, or "".
+	// Redirect returns the public address of a live router in one of the places, or "".
 	Redirect(places map[string]bool) string
-	// Submit asks for a slot. The decision comes on the ticket.
+	// Submit requests a slot. The decision is delivered on the ticket. key is nil unless
+	// the request runs at most once and has an idempotency key.
 	Submit(r entry.Request, key *claim.Key) *Ticket
-	// Cancel gives up a ticket that has no slot yet.
+	// Cancel gives up a ticket. A slot that was granted in the meantime is returned unused.
 	Cancel(t *Ticket)
-	// Return gives a slot back unused; the next decision comes on the ticket.
+	// Return gives a slot back and requests another one; the next decision is delivered on
+	// the ticket. failed says that the upstream was at fault.
 	Return(t *Ticket, failed bool)
-	// Finish ends a ticket that has a slot.
+	// Finish releases a ticket that has a slot. answered says that the caller got a whole
+	// answer.
 	Finish(t *Ticket, s wire.Sample, answered bool)
-	// Quarantined returns what is known of an organisation's requests under which
-	// upstreams have crashed; it is not changed.
+	// Quarantined returns the state of an organisation's requests during which upstreams
+	// have crashed. The map must not be modified.
 	Quarantined(org version.ID) map[fingerprint.Fingerprint]quarantine.State
-	// Broke says that an attempt ended without a whole answer though it may have run.
+	// Broke reports an attempt that may have run and ended without a whole answer.
 	Broke(core.Broke)
-	// ConnRefused says that an upstream's address refuses connections.
+	// ConnRefused reports that an upstream's address refuses connections.
 	ConnRefused(version.ID)
-	// AnsweredWhole says that a request of those in Quarantined has been answered.
+	// AnsweredWhole reports that a request listed by Quarantined got a whole answer.
 	AnsweredWhole(fingerprint.Fingerprint)
-	// Leaving says that an upstream told this router it is leaving.
+	// UpstreamLeaving reports that an upstream has announced that it is leaving.
 	UpstreamLeaving(id version.ID)
 }
 
-// Decision is the core's word on a ticket: a slot, or a refusal.
+// Decision is the result of a request for a slot: a slot or a refusal.
 type Decision struct {
 	Upstream *version.Upstream // nil for a refusal
-	At       time.Time
+	At       time.Time         // when it was made
 	Refusal  core.Refuse
 }
 
-// Ticket is one request's place in the control state.
+// Ticket is the handle of a submitted request, on which its decisions are delivered.
 type Ticket struct {
 	ID      uint64
 	decided chan Decision
@@ -66,8 +70,8 @@
 	return &Ticket{ID: id, decided: make(chan Decision, 1)}
 }
 
-// Decide sets the decision; the driver calls it at most once for each Submit or
-// Return, so it never blocks.
+// Decide delivers a decision. It is called at most once for each Submit or Return, so it
+// never blocks.
 func (t *Ticket) Decide(d Decision) { t.decided <- d }
 
 // Wait returns the decision, or false when the caller went away first.
--- a/internal/request/counters.go
+++ b/internal/request/counters.go
@@ -8,14 +8,14 @@
 	"github.com/silverswitch/silverswitch/internal/request/outcome"
 )
 
-// counters are the callers' side of the metrics page.
+// counters are the metrics of callers' requests.
 type counters struct {
 	reg      metrics.Registry
 	arrived  metrics.Counter
 	retried  metrics.Counter
 	resumed  metrics.Counter
 	repeated metrics.Counter // events received again after a resume
-	foreign  metrics.Counter // answers that named another request
+	foreign  metrics.Counter // answers that belong to another request
 }
 
 func newCounters(reg metrics.Registry) counters {
@@ -39,15 +39,15 @@
 	metrics.GetOrRegisterCounter(name, c.reg).Inc(1)
 }
 
-// Retry budget: retries are at most this part of answers, on every router and so
-// over the fleet, beyond a small reserve.
+// Retry budget: on each router, and so in the whole fleet, retries are at most
+// retryBudgetRatio of the answers, plus a reserve of maxRetryBudget.
 const (
 	retryBudgetRatio = 0.1
 	maxRetryBudget   = 10
 )
 
-// retryBudget keeps failures from multiplying load. It may be used by any
-// goroutine.
+// retryBudget limits retries, so that failures do not multiply the load. It is safe for
+// concurrent use.
 type retryBudget struct {
 	mu   sync.Mutex
 	left float64
@@ -55,12 +55,14 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{left: maxRetryBudget} }
 
+// earn credits an answered request.
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left = min(b.left+retryBudgetRatio, maxRetryBudget)
 }
 
+// take spends one retry, or returns false if the budget is exhausted.
 func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/request/outcome/outcome.go
+++ b/internal/request/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome holds the three ends of a request and how a caller is told.
-// An outcome is a value: one is built once, where it is known, and written once.
+// Package outcome defines the three outcomes of a request and how they are sent to the
+// caller. An outcome is a value that is built where it becomes known and written once.
 package outcome
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/silverswitch/silverswitch/internal/core/entry"
 )
 
-// Kind is what is known of a request at its end.
+// Kind says what is known about a request at its end.
 type Kind string
 
-// The outcomes. NotRun is legal only while nothing of the request has reached an
-// upstream, or when the upstream's own reply proves that it did not start.
+// The outcomes. NotRun is allowed only if nothing of the request has reached an upstream, or
+// if the upstream's own reply proves that the request did not start.
 const (
 	Answered Kind = "answered"
 	NotRun   Kind = "not-run"
@@ -29,7 +29,7 @@
 	HeaderRequestID = "X-Request-Id"
 )
 
-// Reasons beside those of entry.Reason, which share the header.
+// Reasons in HeaderReason, in addition to those of entry.Reason.
 const (
 	ReasonKey         = "unknown-api-key"
 	ReasonApplication = "unknown-application"
@@ -50,21 +50,21 @@
 	Kind       Kind
 	Status     int
 	Reason     string
-	Detail     string        // for a person; never content
-	RetryDelay time.Duration // when to come back, 0 for never
-	Location   string        // Location of a redirect
+	Detail     string        // for people to read; never contains request content
+	RetryDelay time.Duration // Retry-After, 0 to send none
+	Location   string        // Location header of a redirect
 }
 
-// Error makes a Failure usable as an error inside a handler.
+// Error implements error, so that handlers can return a Failure.
 func (f Failure) Error() string { return f.Reason + ": " + f.Detail }
 
-// BadRequest is a request that no router would run.
+// BadRequest returns the failure of a request that no router would run.
 func BadRequest(status int, reason, detail string) Failure {
 	return Failure{Kind: NotRun, Status: status, Reason: reason, Detail: detail}
 }
 
-// Refused maps a decision of the core to a failure. With doubt an earlier
-// attempt with the same key may have run, and the outcome is unknown.
+// Refused returns the failure for a refusal by the control state. With doubt an earlier
+// attempt with the same key may have run, so the outcome is unknown.
 func Refused(why entry.Reason, after time.Duration, doubt bool) Failure {
 	f := Failure{Kind: NotRun, Status: statusOf(why), Reason: string(why), Detail: refusalDetails[why], RetryDelay: after}
 	if doubt {
@@ -98,8 +98,8 @@
 	entry.ReasonCrashes:      "upstreams crashed each time that they ran this request; the same may be tried again later",
 }
 
-// body is the one shape of every error. It follows the OpenAI error object, so
-// that client libraries show it.
+// errorBody is the JSON body of every failure. It follows the OpenAI error object, so that
+// client libraries display it.
 type errorBody struct {
 	Error struct {
 		Message    string  `json:"message"`
@@ -135,7 +135,8 @@
 	_ = json.NewEncoder(w).Encode(b) // the caller may be gone
 }
 
-// seconds rounds up: coming back early would only be refused again.
+// ceilSeconds rounds up to whole seconds, as a request that is retried too early would be
+// refused again.
 func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -12,7 +12,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// content returns the name of what the request asks, computed when it is needed first.
+// contentFingerprint returns the fingerprint of the request's content, computed on first
+// use.
 func (r *run) contentFingerprint() fingerprint.Fingerprint {
 	if r.print == nil {
 		f := r.s.fingerprintKey.Of(fingerprint.Content{
@@ -27,8 +28,8 @@
 	return *r.print
 }
 
-// crashes returns what is known of the request's content. It needs a fingerprint only
-// when something is known of its organisation's requests.
+// crashes returns the quarantine state of the request. The fingerprint is computed only if
+// the organisation has requests during which upstreams crashed.
 func (r *run) crashes() quarantine.State {
 	known := r.s.ctl.Quarantined(r.v.org.ID)
 	if len(known) == 0 {
@@ -37,31 +38,33 @@
 	return known[r.contentFingerprint()]
 }
 
-// quarantinedFor is how much longer the request is held back since upstreams crashed under it.
-// None of it is sent to another one: 60 of them ended under 30 tries without this.
+// quarantinedFor returns how much longer the request is quarantined because upstreams
+// crashed during it; 0 if it is not. A quarantined request is sent to no further upstream:
+// without quarantine, 30 tries crashed 60 upstreams.
 func (r *run) quarantinedFor() time.Duration { return r.crashes().Held(r.s.clock.Now()) }
 
-// refuseQuarantined tells the outcome of a request that is held. After an attempt that may have
-// run, or an earlier one with its key, that is unknown.
+// refuseQuarantined ends a quarantined request. With doubt the outcome is unknown: an
+// earlier attempt may have run, or an earlier request with the same key.
 func (r *run) refuseQuarantined(left time.Duration, doubt bool) {
 	r.s.failRequest(r.v, outcome.Refused(entry.ReasonCrashes, left, doubt))
 }
 
-// broke says that the upstream may have run the request and gave no whole answer; early
-// that the answer had not begun.
+// reportBrokenAttempt reports to the control state that the upstream may have run the
+// request and gave no whole answer. early is true if the answer had not begun.
 func (r *run) reportBrokenAttempt(u *version.Upstream, early bool) {
 	r.s.ctl.Broke(core.Broke{Content: r.contentFingerprint(), Org: r.v.org.ID, Upstream: u.ID, Began: r.sentAt, Early: early})
 }
 
-// reportRefusedConnection says so when the upstream's process has ended.
+// reportRefusedConnection reports to the control state if the connection was refused: the
+// upstream's process has ended.
 func (r *run) reportRefusedConnection(u *version.Upstream, err error) {
 	if conn.IsRefused(err) {
 		r.s.ctl.ConnRefused(u.ID)
 	}
 }
 
-// answeredWhole says that the request has been answered whole, if crashes are set down to
-// it: it was not what ended those upstreams.
+// answeredWhole reports a whole answer to the control state if crashes are attributed to
+// the request: the answer shows that the request did not cause them.
 func (r *run) answeredWhole() {
 	if r.crashes().Crashes > 0 {
 		r.s.ctl.AnsweredWhole(r.contentFingerprint())
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay carries one attempt of a request to an upstream, and says what
-// is proved when it fails.
+// Package relay sends one attempt of a request to an upstream. If the attempt fails, it
+// states what is proved about whether the request ran.
 package relay
 
 import (
@@ -21,48 +21,48 @@
 
 // Headers between routers and upstreams.
 const (
-	// HeaderAttempt names the attempt; the upstream repeats it in its reply.
+	// HeaderAttempt identifies the attempt; the upstream returns it in its reply.
 	HeaderAttempt = "X-Request-Id"
 	// HeaderNotStarted on a 429 or 503 reply proves that the request did not run.
 	HeaderNotStarted = "X-Not-Started"
-	// HeaderLeaving on a reply says that the upstream takes no more work.
+	// HeaderLeaving on a reply says that the upstream accepts no more requests.
 	HeaderLeaving = "X-Leaving"
 	// HeaderOrganisation names the organisation to the upstream.
 	HeaderOrganisation = "X-Organisation"
 )
 
-// Call is what is sent.
+// Call is a request to an upstream.
 type Call struct {
 	Method       string
 	Path         string // with query
 	Header       http.Header
 	Body         []byte
 	Organisation string
-	Repeatable   bool // idempotent: may use reused connections
+	Repeatable   bool // idempotent, so it may use a reused connection
 }
 
-// State is what is proved about an attempt.
+// State says what is proved about an attempt.
 type State uint8
 
 // The states.
 const (
 	Replied    State = iota // Response is set; its body is still to be read
 	NotSent                 // no byte reached the upstream
-	NotStarted              // the upstream's reply proves that it did not run
-	InDoubt                 // sent, no reply
-	Foreign                 // the reply names another attempt
+	NotStarted              // the upstream's reply proves that the request did not run
+	InDoubt                 // it was sent, but no reply arrived
+	Foreign                 // the reply belongs to another attempt
 )
 
-// Result is the end of one attempt up to the reply's headers.
+// Result is the result of one attempt, up to the headers of the reply.
 type Result struct {
 	State           State
 	UpstreamLeaving bool
 	Response        *http.Response
 	Err             error
-	TimeToHeader    time.Duration // to the reply's headers
+	TimeToHeader    time.Duration // from sending to the reply's headers
 }
 
-// Send runs one attempt. attempt is unique over all attempts of all routers.
+// Send makes one attempt. attempt is an id that is unique among all attempts of all routers.
 func Send(ctx context.Context, ups *conn.Upstreams, u *version.Upstream, attempt string, c Call) Result {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -95,14 +95,15 @@
 	req.Header.Set(HeaderOrganisation, c.Organisation)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	if len(c.Body) > 0 {
-		// No GetBody: net/http must not be able to send the body twice.
+		// GetBody is not set, so that net/http cannot send the body twice.
 		req.Body = io.NopCloser(bytes.NewReader(c.Body))
 		req.ContentLength = int64(len(c.Body))
 	}
 	return req, nil
 }
 
-// forwarded are the callers' headers that reach upstreams. Keys never do.
+// forwardedHeaders are the callers' headers that are forwarded to upstreams. API keys never
+// are.
 var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "Idempotency-Key", "User-Agent"}
 
 func copyHeader(to, from http.Header) {
@@ -113,6 +114,8 @@
 	}
 }
 
+// classify determines what a reply proves. The body of a reply that is not forwarded is
+// closed.
 func classify(res *http.Response, attempt string, first time.Duration) Result {
 	r := Result{State: Replied, Response: res, TimeToHeader: first, UpstreamLeaving: res.Header.Get(HeaderLeaving) == "true"}
 	refused := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
@@ -129,7 +132,7 @@
 	return r
 }
 
-// Resume asks the upstream for an attempt's stream from a position on.
+// Resume requests an attempt's stream from the upstream again, from a position on.
 func Resume(ctx context.Context, ups *conn.Upstreams, u *version.Upstream, attempt, org string, from int64) Result {
 	return Send(ctx, ups, u, attempt, Call{
 		Method:       http.MethodGet,
@@ -139,12 +142,12 @@
 	})
 }
 
-// cancelTimeout bounds how long a slot waits for the upstream's word that a
-// canceled request has ended.
+// cancelTimeout bounds how long a slot is kept until the upstream confirms that a canceled
+// request has ended.
 const cancelTimeout = 2 * time.Second
 
-// Cancel tells the upstream to end an attempt, and returns when it has confirmed
-// or its time is up. The caller's context is gone by then.
+// Cancel requests the upstream to end an attempt, and reports whether the upstream confirmed
+// that within cancelTimeout. It uses its own context, as the caller's has ended by then.
 func Cancel(ups *conn.Upstreams, u *version.Upstream, attempt, org string) bool {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -22,12 +22,12 @@
 const (
 	// maxAttempts bounds the attempts of one request that may be repeated.
 	maxAttempts = 4
-	// maxDecisionAge is how old a slot may be when it is used: after a pause the
-	// place rule and the lease are asked for again.
+	// maxDecisionAge is the age after which a granted slot is returned unused: after a
+	// pause the place rule and the lease must be checked again.
 	maxDecisionAge = 500 * time.Millisecond
 )
 
-// run carries one request from its ticket to its outcome.
+// run executes one request, from its ticket to its outcome.
 type run struct {
 	s          *Server
 	v          *callerRequest
@@ -38,19 +38,19 @@
 	ctx        context.Context
 	deadline   time.Time
 	attempts   int
-	mayHaveRun bool                     // an attempt may have run
-	sentAt     time.Time                // of the last attempt, by the server's clock
-	print      *fingerprint.Fingerprint // once it was needed
+	mayHaveRun bool                     // an attempt so far may have run the request
+	sentAt     time.Time                // of the latest attempt, by the server's clock
+	print      *fingerprint.Fingerprint // computed on first use
 }
 
-// loop waits for a slot and tries, until there is an outcome.
+// loop waits for slots and makes attempts until there is an outcome.
 func (r *run) loop() {
 	for {
 		d, ok := r.wait()
 		if !ok {
 			return
 		}
-		r.s.clock.Refresh() // a lease may have run out in a suspension that nobody noticed yet
+		r.s.clock.Refresh() // the lease may have expired during a suspension not yet noticed
 		if r.s.clock.Since(d.At) > maxDecisionAge {
 			r.s.ctl.Return(r.ticket, false)
 			continue
@@ -66,7 +66,7 @@
 	}
 }
 
-// wait returns a slot, or false after the outcome has been told.
+// wait returns a decision with a slot, or false once the outcome has been sent.
 func (r *run) wait() (Decision, bool) {
 	_, span := r.s.tracer.Start(r.ctx, "queue")
 	defer span.End()
@@ -85,15 +85,15 @@
 	return d, true
 }
 
-// abandon gives up a request whose caller went away while it waited. A slot may
-// have come at the same moment; it is given back unused.
+// abandon ends a request whose caller went away while it waited. A slot that was granted at
+// the same moment is returned unused.
 func (r *run) abandon() {
 	r.s.ctl.Cancel(r.ticket)
 	r.s.count.outcome(outcome.NotRun, outcome.ReasonCanceled)
 }
 
-// attempt runs the request at an upstream once. It returns true when the outcome
-// has been told, and false when the request waits for another slot.
+// attempt sends the request to an upstream once. It returns true if the outcome has been
+// sent, and false if the request waits for another slot.
 func (r *run) attempt(u *version.Upstream) bool {
 	r.attempts++
 	r.sentAt = r.s.clock.Now()
@@ -121,7 +121,9 @@
 	return r.failed(u, id, res)
 }
 
-// again waits for another slot after an attempt that provably did not run.
+// retry returns the slot to wait for another one, after an attempt that provably did not
+// run. failed says that the upstream was at fault. It returns true if the request has ended
+// instead.
 func (r *run) retry(failed bool) bool {
 	if r.attempts < maxAttempts && r.ctx.Err() == nil {
 		r.s.ctl.Return(r.ticket, failed)
@@ -132,8 +134,8 @@
 	return true
 }
 
-// failed ends an attempt that may have run. Only what is idempotent is tried
-// again, within the budget.
+// failed ends an attempt that may have run. Only idempotent requests are tried again,
+// within the retry budget.
 func (r *run) failed(u *version.Upstream, id string, res relay.Result) bool {
 	r.mayHaveRun = true
 	r.reportBrokenAttempt(u, true)
@@ -159,6 +161,7 @@
 	return true
 }
 
+// finish releases the slot. An answered request adds to the retry budget.
 func (r *run) finish(s wire.Sample, answered bool) {
 	r.s.ctl.Finish(r.ticket, s, answered)
 	if answered {
@@ -166,9 +169,11 @@
 	}
 }
 
-// forwardedHeaders are the upstream's headers that reach callers.
+// forwardedHeaders are the upstream's headers that are forwarded to callers.
 var forwardedHeaders = []string{"Content-Type", "Content-Language", "Cache-Control", "Retry-After", "Etag", "Last-Modified"}
 
+// writeHeader sends the answer's headers. The outcome header is left out if kind is empty,
+// and the length if it is negative.
 func (r *run) writeHeader(res *http.Response, kind outcome.Kind, length int) {
 	h := r.v.w.Header()
 	for _, name := range forwardedHeaders {
@@ -186,8 +191,8 @@
 	r.v.w.WriteHeader(res.StatusCode)
 }
 
-// readWhole reads an answer that is not a stream. An answer cut short or over
-// the bound is an error, never a shorter answer.
+// readWhole reads an answer that is not a stream. An answer that is cut short or exceeds
+// the limit is an error; it never returns a part of one.
 func readWhole(res *http.Response, limit int64) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(res.Body, limit+1))
 	if err != nil {
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -28,15 +28,15 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Limits on what callers may send.
+// Limits bound what callers may send and what upstreams may answer.
 type Limits struct {
-	Body         int64         // bytes of one body
+	Body         int64         // bytes of one request body
 	Answer       int64         // bytes of one answer that is not a stream
-	BodyTimeout  time.Duration // to send the body
-	StallTimeout time.Duration // longest pause of an upstream's stream
+	BodyTimeout  time.Duration // for receiving the whole body
+	StallTimeout time.Duration // longest gap between two events of an upstream's stream
 }
 
-// DefaultLimits suit syllabi of a few hundred pages.
+// DefaultLimits allow for syllabi of a few hundred pages.
 var DefaultLimits = Limits{
 	Body:         4 << 20,
 	Answer:       16 << 20,
@@ -44,7 +44,7 @@
 	StallTimeout: 30 * time.Second,
 }
 
-// Server answers callers. It may be used by any goroutine.
+// Server handles callers' requests. It is safe for concurrent use.
 type Server struct {
 	ctl            Control
 	ups            *conn.Upstreams
@@ -56,8 +56,8 @@
 	tracer         trace.Tracer
 }
 
-// NewServer returns the callers' handler's state. It knows requests again by fingerprints
-// of the key.
+// NewServer returns a Server. It identifies repeated requests by fingerprints made with the
+// key.
 func NewServer(ctl Control, ups *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
 	return &Server{
 		ctl:            ctl,
@@ -71,7 +71,7 @@
 	}
 }
 
-// Handler returns the routes for callers.
+// Handler returns the HTTP routes for callers.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
 	r.HandleFunc("/v1/chat/completions", s.withOrganisation(s.completion)).Methods(http.MethodPost)
@@ -87,7 +87,7 @@
 		"allowed: POST /v1/chat/completions, GET /v1/models, /v1/apps/{application}/{path}"))
 }
 
-// visit is one request between its headers and its outcome.
+// callerRequest is one request, from its headers to its outcome.
 type callerRequest struct {
 	w            http.ResponseWriter
 	r            *http.Request
@@ -95,11 +95,12 @@
 	org          *version.Organisation
 	terms        caller.Terms
 	span         trace.Span
-	keyUndecided bool // a key was given and no witness has ruled on it yet
+	keyUndecided bool // an idempotency key was given and the witnesses have not decided on it
 }
 
-// withOrganisation decides from the headers alone: who calls, whether this
-// router stands in a place the organisation allows, and under which terms.
+// withOrganisation authenticates the caller and calls next if the request may run at this
+// router. It decides from the headers alone: the organisation, whether this router is in a
+// place that the organisation allows, and the terms of the request.
 func (s *Server) withOrganisation(next func(*callerRequest)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.count.arrived.Inc(1)
@@ -134,7 +135,8 @@
 	return err
 }
 
-// elsewhere redirects to a router in an allowed place, before the body is read.
+// redirect returns a redirect to a router in an allowed place, before the body is read. If
+// there is none, it returns a refusal.
 func (s *Server) redirect(v *callerRequest) error {
 	f := outcome.BadRequest(http.StatusMisdirectedRequest, outcome.ReasonPlace, "this router stands outside the organisation's places")
 	if base := s.ctl.Redirect(v.org.Places); base != "" {
@@ -169,7 +171,7 @@
 	_ = json.NewEncoder(v.w).Encode(list) // the caller may be gone
 }
 
-// completion serves the OpenAI-style route; the model names the application.
+// completion serves the OpenAI-compatible route. The model field names the application.
 func (s *Server) completion(v *callerRequest) {
 	raw, err := s.readBody(v)
 	if err != nil {
@@ -188,7 +190,7 @@
 		s.failRequest(v, err)
 		return
 	}
-	fields["model"], _ = json.Marshal(app.Service) // a string always encodes
+	fields["model"], _ = json.Marshal(app.Service) // encoding a string cannot fail
 	body, err := json.Marshal(fields)
 	if err != nil {
 		s.failRequest(v, outcome.BadRequest(http.StatusBadRequest, outcome.ReasonBody, err.Error()))
@@ -197,6 +199,8 @@
 	s.serve(v, app, relay.Call{Method: http.MethodPost, Path: "/v1/chat/completions", Body: body}, streams)
 }
 
+// readCompletion parses a completion request. All fields are kept, so that the body can be
+// encoded again with another model name.
 func readCompletion(raw []byte, fields *map[string]json.RawMessage, model *string, streams *bool) error {
 	bad := func(detail string) error {
 		return outcome.BadRequest(http.StatusBadRequest, outcome.ReasonBody, detail)
@@ -218,7 +222,7 @@
 	return nil
 }
 
-// plain serves calls to plain services; the path names the application.
+// plain serves requests to plain services. The path names the application.
 func (s *Server) plain(v *callerRequest) {
 	name, err := url.PathUnescape(mux.Vars(v.r)["app"])
 	if err != nil {
@@ -242,6 +246,8 @@
 	s.serve(v, app, relay.Call{Method: v.r.Method, Path: path, Body: raw}, false)
 }
 
+// application returns the organisation's application of that name if its service is of the
+// kind that the route serves.
 func (s *Server) application(v *callerRequest, name string, kind version.Kind) (*version.Application, error) {
 	app := v.org.Applications[name]
 	if app == nil || v.ver.Services[app.Service].Kind != kind {
@@ -250,7 +256,7 @@
 	return app, nil
 }
 
-// readBody reads the content within its bounds of size and time.
+// readBody reads the body within the limits of size and time.
 func (s *Server) readBody(v *callerRequest) ([]byte, error) {
 	rc := http.NewResponseController(v.w)
 	_ = rc.SetReadDeadline(time.Now().Add(s.limits.BodyTimeout)) // not supported by test recorders
@@ -259,7 +265,8 @@
 		_ = rc.SetReadDeadline(time.Time{})
 		return raw, nil
 	}
-	// The deadline stays: net/http would wait for the rest before it answers.
+	// The read deadline is kept: otherwise net/http would wait for the rest of the body
+	// before it sends the answer.
 	v.w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -268,10 +275,10 @@
 	return nil, outcome.BadRequest(http.StatusRequestTimeout, outcome.ReasonSlow, "the body did not arrive whole in time")
 }
 
-// serve waits for a slot, carries the request, and tells the outcome.
+// serve waits for a slot, runs the request at an upstream and sends the outcome.
 func (s *Server) serve(v *callerRequest, app *version.Application, call relay.Call, streams bool) {
 	idempotencyKey, err := s.idempotencyKey(v, app)
-	v.keyUndecided = false // no key that runs once, or the witnesses will rule on it
+	v.keyUndecided = false // the key is not needed, or the witnesses will decide on it
 	if err != nil {
 		s.failRequest(v, err)
 		return
@@ -300,7 +307,8 @@
 	run.loop()
 }
 
-// key reads the idempotency key. Only what may not be repeated needs it.
+// idempotencyKey returns the request's idempotency key, or nil. Requests of idempotent
+// applications need none.
 func (s *Server) idempotencyKey(v *callerRequest, app *version.Application) (*claim.Key, error) {
 	if app.Idempotent || v.terms.Key == "" {
 		return nil, nil
@@ -312,13 +320,14 @@
 	return &k, nil
 }
 
+// failRequest sends a failure to the caller and records it on the request's span.
 func (s *Server) failRequest(v *callerRequest, err error) {
 	var f outcome.Failure
 	if !errors.As(err, &f) {
 		f = outcome.BadRequest(http.StatusBadRequest, outcome.ReasonBody, err.Error())
 	}
 	if v.keyUndecided && f.Kind == outcome.NotRun {
-		f.Kind = outcome.Unknown // an earlier call with the key may have run
+		f.Kind = outcome.Unknown // an earlier request with the same key may have run
 	}
 	v.span.SetAttributes(attribute.String("outcome", string(f.Kind)), attribute.String("reason", f.Reason))
 	s.writeFailure(v.w, v.terms.ID, f)
--- a/internal/request/server_test.go
+++ b/internal/request/server_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Whatever a caller sends, the body is refused or names an application.
+// FuzzCompletion checks that any body is either refused or names an application.
 func FuzzCompletion(f *testing.F) {
 	f.Add([]byte(`{"model":"a","stream":true,"messages":[]}`))
 	f.Add([]byte(`{"model":1,"messages":{}}`))
--- a/internal/request/stream/event.go
+++ b/internal/request/stream/event.go
@@ -1,5 +1,5 @@
-// Package stream reads server-sent events from an upstream, one event at a time
-// and with a bound on its size, keeping the bytes as they came.
+// Package stream reads server-sent events from an upstream, one at a time and with a limit
+// on their size. The bytes of an event are kept unchanged.
 package stream
 
 import (
@@ -16,7 +16,8 @@
 // NoPosition is the Position of an event without a numeric id.
 const NoPosition = -1
 
-// ErrEvent is a stream that is not server-sent events within the bound.
+// ErrEvent is the type of errors for a stream that is malformed, ends inside an event or
+// has an event larger than MaxEventBytes.
 var ErrEvent = errorx.NewNamespace("stream").NewType("event")
 
 var (
@@ -28,16 +29,16 @@
 // Event is one server-sent event.
 type Event struct {
 	Position int64  // from the id field, or NoPosition
-	Data     []byte // the data field's value; of several lines, the last
-	Raw      []byte // all lines with the empty one that ends the event
+	Data     []byte // value of the last data field
+	Raw      []byte // all lines, including the empty one that ends the event
 }
 
 // Done reports whether the event ends a completion stream.
 func (e Event) Done() bool { return bytes.Equal(e.Data, doneData) }
 
-// Read returns the next event. It returns io.EOF only between two events, and
-// io.ErrUnexpectedEOF or the reader's error inside one. The event's bytes are
-// appended to buf, which the caller may use again for the next.
+// Read returns the next event. At the end of the stream between two events it returns
+// io.EOF; inside an event it returns an ErrEvent that wraps the reader's error. The event's
+// bytes are stored in buf, which the caller may reuse for the next event.
 func Read(r *bufio.Reader, buf []byte) (Event, error) {
 	e := Event{Position: NoPosition, Raw: buf[:0]}
 	for {
@@ -62,7 +63,7 @@
 	}
 }
 
-// readRest reads on after a line longer than the reader's buffer.
+// readRest reads the rest of a line that is longer than the reader's buffer.
 func readRest(r *bufio.Reader, raw []byte) ([]byte, error) {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -79,7 +80,8 @@
 	}
 }
 
-// endError keeps a clean end apart from one inside an event.
+// endError returns err for an end between two events (nothing was read), and an ErrEvent for
+// an end inside one.
 func endError(err error, read int) error {
 	if read == 0 {
 		return err
@@ -87,6 +89,7 @@
 	return ErrEvent.Wrap(err, "ended inside an event")
 }
 
+// parseField parses an id or data line. Other lines are ignored.
 func (e *Event) parseField(line []byte) {
 	switch {
 	case bytes.HasPrefix(line, fieldID):
--- a/internal/request/stream/event_test.go
+++ b/internal/request/stream/event_test.go
@@ -56,6 +56,6 @@
 				break
 			}
 		}
-		assert.LessOrEqual(t, total, len(text), "nothing is read twice")
+		assert.LessOrEqual(t, total, len(text), "no byte is returned twice")
 	})
 }
--- a/internal/request/suspend_test.go
+++ b/internal/request/suspend_test.go
@@ -22,7 +22,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// slotControl hands out one slot, and refuses what comes back.
+// slotControl grants one slot. When the slot is returned, it refuses the request.
 type slotControl struct {
 	Control
 	returned int
@@ -38,9 +38,9 @@
 	t.Decide(Decision{At: c.at, Refusal: core.Refuse{Reason: entry.ReasonNoUpstream, After: time.Second}})
 }
 
-// The VM is suspended between the moment at which a request is given a slot and the one
-// at which it would use it: its lease has run out elsewhere, and another request may run
-// in that slot.
+// The VM is suspended after a request was granted a slot and before the request uses it.
+// Meanwhile the lease has expired for the other routers, and another request may run in the
+// slot, so it must be returned unused.
 func TestSlotGrantedBeforeSuspensionIsReturned(t *testing.T) {
 	var total atomic.Int64
 	stepped := clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true })
