--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -218,7 +218,7 @@
 	case <-p.ctx.Done():
 		return false
 	}
-	r := relay.Resume(p.ctx, p.s.ups, p.upstream, p.attempt, p.call.Organisation, p.next)
+	r := relay.Resume(p.ctx, p.s.upstreams, p.upstream, p.attempt, p.call.Organisation, p.next)
 	p.reportRefusedConnection(p.upstream, r.Err)
 	if r.State != relay.Replied {
 		return r.State == relay.NotSent || r.State == relay.InDoubt
@@ -233,7 +233,7 @@
 func (p *answer) callerGone() bool {
 	p.stop()
 	p.reportBrokenAttempt(p.upstream, p.events == 0)
-	relay.Cancel(p.s.ups, p.upstream, p.attempt, p.call.Organisation)
+	relay.Cancel(p.s.upstreams, p.upstream, p.attempt, p.call.Organisation)
 	p.finishWithUsage(false)
 	p.s.count.outcome(outcome.Unknown, outcome.ReasonCanceled)
 	return true
@@ -242,7 +242,7 @@
 // failStream ends a stream that cannot be completed.
 func (p *answer) failStream() bool {
 	p.stop()
-	relay.Cancel(p.s.ups, p.upstream, p.attempt, p.call.Organisation)
+	relay.Cancel(p.s.upstreams, p.upstream, p.attempt, p.call.Organisation)
 	if !p.headerSent {
 		return p.failed(p.upstream, p.attempt, relay.Result{State: relay.InDoubt})
 	}
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -36,7 +36,7 @@
 }
 
 var (
-	errForeign        = errors.New("the answer has no proof of the upstream, or is content-encoded")
+	errUnproven       = errors.New("the answer lacks the upstream's proof header or has a content encoding")
 	errNotResumed     = errors.New("the upstream did not resume the stream")
 	errUnprovenNotRun = errors.New("the upstream's status says that the request did not run, but it may have run")
 )
@@ -50,7 +50,7 @@
 	case res.Header.Get(a.s.dialect.NotExecuted) != "" || res.StatusCode == http.StatusMisdirectedRequest:
 		return a.notExecuted(res)
 	case res.Header.Get(a.s.dialect.Proof) == "" || res.Header.Get("Content-Encoding") != "":
-		return a.handleBroken(errForeign)
+		return a.handleBroken(errUnproven)
 	case res.StatusCode == http.StatusOK && isEventStream(res):
 		return a.stream(res)
 	case a.headersSent:
--- a/internal/request/forward/answerbuffer_test.go
+++ b/internal/request/forward/answerbuffer_test.go
@@ -33,7 +33,7 @@
 	r := newHarness(t)
 	for range callers {
 		addr, _ := scriptedUpstream(t, answerOfSize(large, false))
-		r.control.ups = append(r.control.ups, addr)
+		r.control.upstreams = append(r.control.upstreams, addr)
 	}
 	for range callers {
 		wg.Go(func() {
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -61,7 +61,7 @@
 	assert.NotEmpty(t, res.Header.Get("Retry-After"))
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	r := newHarness(t)
 	res, _, err := r.do(t, "POST", "/stream/x", "")
 	require.NoError(t, err)
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestStreamThatMayNotBeResumedIsCut(t *testing.T) {
+func TestStreamOfNonResumableRouteIsCut(t *testing.T) {
 	a, _ := scriptedUpstream(t, eventStreamHeader+eventChunk(1)+"\x00")
 	b, gotB := scriptedUpstream(t, eventStreamHeader+eventChunk(2)+lastChunk)
 	r := newHarness(t, a, b)
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -47,7 +47,7 @@
 type fakeControl struct {
 	mu            sync.Mutex
 	table         *routing.Table
-	ups           []string
+	upstreams     []string
 	next          int
 	notes         []uint8
 	stopping      atomic.Bool
@@ -143,11 +143,11 @@
 func (c *fakeControl) decide(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next >= len(c.ups) {
+	if c.next >= len(c.upstreams) {
 		t.Decide(Decision{Refusal: dispatch.Refuse{ID: t.ID, Reason: dispatch.ReasonCapacity, After: 300 * time.Millisecond}})
 		return
 	}
-	i := routing.Instance{ID: fmt.Sprintf("i-%d", c.next), Address: c.ups[c.next]}
+	i := routing.Instance{ID: fmt.Sprintf("i-%d", c.next), Address: c.upstreams[c.next]}
 	c.next++
 	t.Decide(Decision{Placement: &dispatch.Place{ID: t.ID, Instance: i, Look: c.healthCheckFirst}})
 }
@@ -282,14 +282,14 @@
 	maxRequests int
 }
 
-func newHarness(t *testing.T, ups ...string) *harness {
+func newHarness(t *testing.T, upstreams ...string) *harness {
 	t.Helper()
-	return newHarnessWithLimit(t, 100, ups...)
+	return newHarnessWithLimit(t, 100, upstreams...)
 }
 
-func newHarnessWithLimit(t *testing.T, maxRequests int, ups ...string) *harness {
+func newHarnessWithLimit(t *testing.T, maxRequests int, upstreams ...string) *harness {
 	t.Helper()
-	r := &harness{control: &fakeControl{table: testTable(t), ups: ups}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
+	r := &harness{control: &fakeControl{table: testTable(t), upstreams: upstreams}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
 	r.server = NewServer(r.control, r.exchanges, testDialect, testKey(t), Limits{MaxRequests: r.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
 	s := httptest.NewServer(r.server)
 	t.Cleanup(func() { s.Close(); r.exchanges.Close() })
--- a/internal/request/forward/healthcheck.go
+++ b/internal/request/forward/healthcheck.go
@@ -52,15 +52,15 @@
 // healthChecker keeps the latest health check of each upstream. It is safe for concurrent
 // use.
 type healthChecker struct {
-	ups     *conn.Exchanges
-	dialect Dialect
-	clock   *clock.Clock
-	mu      sync.Mutex
-	checks  map[string]*healthCheck // by routing.Instance.Start
+	exchanges *conn.Exchanges
+	dialect   Dialect
+	clock     *clock.Clock
+	mu        sync.Mutex
+	checks    map[string]*healthCheck // by routing.Instance.Start
 }
 
-func newHealthChecker(ups *conn.Exchanges, dialect Dialect, c *clock.Clock) *healthChecker {
-	return &healthChecker{ups: ups, dialect: dialect, clock: c, checks: map[string]*healthCheck{}}
+func newHealthChecker(exchanges *conn.Exchanges, dialect Dialect, c *clock.Clock) *healthChecker {
+	return &healthChecker{exchanges: exchanges, dialect: dialect, clock: c, checks: map[string]*healthCheck{}}
 }
 
 // latest returns the health of an upstream, at most healthCheckTTL old.
@@ -96,7 +96,7 @@
 	ctx, stop := l.clock.WithDeadline(ctx, l.clock.Now().Add(healthCheckTimeout))
 	defer stop()
 	m := &conn.Message{Method: http.MethodGet, Target: path, Host: i.Address, Header: http.Header{}, Owner: i.Start()}
-	x, err := l.ups.Send(ctx, i.Address, m, func(*http.Response) bool { return true })
+	x, err := l.exchanges.Send(ctx, i.Address, m, func(*http.Response) bool { return true })
 	if err != nil {
 		return healthResult{}
 	}
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -130,7 +130,7 @@
 	r.sentAt = r.s.clock.Now()
 	m := r.message(p)
 	m.Began = silence.watch
-	exchange, err := r.s.ups.Send(ctx, p.Instance.Address, m, r.isOwnAnswer)
+	exchange, err := r.s.exchanges.Send(ctx, p.Instance.Address, m, r.isOwnAnswer)
 	if err != nil {
 		return r.sendFailed(p, err)
 	}
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -26,7 +26,7 @@
 // Server is the HTTP handler of the routed interface. It is safe for concurrent use.
 type Server struct {
 	ctl           Control
-	ups           *conn.Exchanges
+	exchanges     *conn.Exchanges
 	dialect       Dialect
 	limit         int // concurrent requests
 	buffers       answerBuffers
@@ -42,12 +42,12 @@
 
 // NewServer returns a Server. It identifies repeated requests by fingerprints made with
 // the key.
-func NewServer(ctl Control, ups *conn.Exchanges, dialect Dialect, key *fingerprint.Key, limit Limits, reg metrics.Registry, log zerolog.Logger) *Server {
-	s := &Server{ctl: ctl, ups: ups, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
-	s.healthChecker = newHealthChecker(ups, dialect, s.clock)
-	ups.Heard = s.handleNotice
-	ups.Opened = func() { s.count.opened.Inc(1) }
-	ups.Fell = func(addr string, dropped int) {
+func NewServer(ctl Control, exchanges *conn.Exchanges, dialect Dialect, key *fingerprint.Key, limit Limits, reg metrics.Registry, log zerolog.Logger) *Server {
+	s := &Server{ctl: ctl, exchanges: exchanges, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
+	s.healthChecker = newHealthChecker(exchanges, dialect, s.clock)
+	exchanges.Heard = s.handleNotice
+	exchanges.Opened = func() { s.count.opened.Inc(1) }
+	exchanges.Fell = func(addr string, dropped int) {
 		log.Info().Str("address", addr).Int("closed", dropped).Msg("kept-connection-silent")
 	}
 	return s
--- a/internal/request/forward/watchdog_test.go
+++ b/internal/request/forward/watchdog_test.go
@@ -32,9 +32,9 @@
 	var fired atomic.Int64
 	w := newWatchdog(func() { fired.Add(1) }, 0)
 	defer w.stop()
-	ups := conn.NewExchanges()
-	defer ups.Close()
-	x, err := ups.Send(context.Background(), l.Addr().String(), &conn.Message{Method: "GET", Target: "/", Host: "h", Header: http.Header{}, Began: w.watch},
+	exchanges := conn.NewExchanges()
+	defer exchanges.Close()
+	x, err := exchanges.Send(context.Background(), l.Addr().String(), &conn.Message{Method: "GET", Target: "/", Host: "h", Header: http.Header{}, Began: w.watch},
 		func(*http.Response) bool { return true })
 	require.NoError(t, err)
 	require.Eventually(t, x.Waiting, 10*time.Second, time.Millisecond)
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -63,16 +63,16 @@
 }
 
 // Send makes one attempt. attempt is an id that is unique among all attempts of all routers.
-func Send(ctx context.Context, ups *conn.Upstreams, u *version.Upstream, attempt string, c Call) Result {
+func Send(ctx context.Context, upstreams *conn.Upstreams, u *version.Upstream, attempt string, c Call) Result {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), u, attempt, c)
 	if err != nil {
 		return Result{State: NotSent, Err: err}
 	}
-	rt := ups.Once
+	rt := upstreams.Once
 	if c.Repeatable {
-		rt = ups.Pooled
+		rt = upstreams.Pooled
 	}
 	began := time.Now()
 	res, err := rt.RoundTrip(req)
@@ -133,8 +133,8 @@
 }
 
 // Resume requests an attempt's stream from the upstream again, from a position on.
-func Resume(ctx context.Context, ups *conn.Upstreams, u *version.Upstream, attempt, org string, from int64) Result {
-	return Send(ctx, ups, u, attempt, Call{
+func Resume(ctx context.Context, upstreams *conn.Upstreams, u *version.Upstream, attempt, org string, from int64) Result {
+	return Send(ctx, upstreams, u, attempt, Call{
 		Method:       http.MethodGet,
 		Path:         streamPath(attempt) + "?from=" + strconv.FormatInt(from, 10),
 		Organisation: org,
@@ -148,10 +148,10 @@
 
 // Cancel requests the upstream to end an attempt, and reports whether the upstream confirmed
 // that within cancelTimeout. It uses its own context, as the caller's has ended by then.
-func Cancel(ups *conn.Upstreams, u *version.Upstream, attempt, org string) bool {
+func Cancel(upstreams *conn.Upstreams, u *version.Upstream, attempt, org string) bool {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
-	r := Send(ctx, ups, u, attempt, Call{Method: http.MethodDelete, Path: streamPath(attempt), Organisation: org, Repeatable: true})
+	r := Send(ctx, upstreams, u, attempt, Call{Method: http.MethodDelete, Path: streamPath(attempt), Organisation: org, Repeatable: true})
 	if r.Response != nil {
 		r.Response.Body.Close()
 	}
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -103,7 +103,7 @@
 	defer span.End()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	res := relay.Send(ctx, r.s.ups, u, id, r.call)
+	res := relay.Send(ctx, r.s.upstreams, u, id, r.call)
 	if res.UpstreamLeaving {
 		r.s.ctl.UpstreamLeaving(u.ID)
 	}
@@ -141,7 +141,7 @@
 	r.reportBrokenAttempt(u, true)
 	gone := r.v.r.Context().Err() != nil
 	if gone || r.ctx.Err() != nil {
-		relay.Cancel(r.s.ups, u, id, r.call.Organisation)
+		relay.Cancel(r.s.upstreams, u, id, r.call.Organisation)
 	}
 	if !gone && r.app.Idempotent && r.attempts < maxAttempts && r.ctx.Err() == nil && r.s.budget.take() {
 		r.s.count.retried.Inc(1)
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -47,7 +47,7 @@
 // Server handles callers' requests. It is safe for concurrent use.
 type Server struct {
 	ctl            Control
-	ups            *conn.Upstreams
+	upstreams      *conn.Upstreams
 	limits         Limits
 	budget         *retryBudget
 	count          counters
@@ -58,10 +58,10 @@
 
 // NewServer returns a Server. It identifies repeated requests by fingerprints made with the
 // key.
-func NewServer(ctl Control, ups *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
+func NewServer(ctl Control, upstreams *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
 	return &Server{
 		ctl:            ctl,
-		ups:            ups,
+		upstreams:      upstreams,
 		limits:         limits,
 		budget:         newRetryBudget(),
 		count:          newCounters(reg),
