--- a/internal/request/forward/control.go
+++ b/internal/request/forward/control.go
@@ -29,8 +29,8 @@
 	// refuse because it is overloaded (short of CPU).
 	ShedRatio() float64
 	// AdmitRatio returns the fraction of an organisation's requests for a service that are
-	// admitted while this router is overloaded: 1 unless the organisation has used up its
-	// share.
+	// admitted while this router is, or was just, overloaded: 1 unless the organisation has
+	// used up its share.
 	AdmitRatio(service, org string) float64
 	// RequestShed reports work that was refused because of overload, without Submit.
 	RequestShed(w dispatch.TurnedWork)
--- a/internal/request/forward/loadshedder.go
+++ b/internal/request/forward/loadshedder.go
@@ -40,8 +40,8 @@
 func newArrivals() arrivals { return arrivals{byOrg: map[string]int{}} }
 
 // refuses counts an arriving request and reports whether to refuse it. fraction is the part
-// of all arrivals to be refused, covered the part of this organisation's arrivals that its
-// share covers.
+// of all arrivals to be refused. covered is the part of this organisation's arrivals that
+// its share covers; the rest is refused even if fraction is 0.
 func (d *loadShedder) refuses(org string, fraction, covered float64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/request/outcome/outcome.go
+++ b/internal/request/outcome/outcome.go
@@ -51,7 +51,7 @@
 	Status     int
 	Reason     string
 	Detail     string        // for people to read; never contains request content
-	RetryDelay time.Duration // Retry-After, 0 to send none
+	RetryDelay time.Duration // sent as Retry-After; 0 if a retry is of no use
 	Location   string        // Location header of a redirect
 }
 
