--- a/internal/conn/fetch.go
+++ b/internal/conn/fetch.go
@@ -78,12 +78,12 @@
 const maxRecentAnswers = 4
 
 // ServeFetch listens on the peer address over TCP.
-func ServeFetch(addr string, sealer *Sealer, served Handlers) (*FetchServer, error) {
+func ServeFetch(addr string, sealer *Sealer, handlers Handlers) (*FetchServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, ErrPeer.Wrap(err, "listen on %q", addr)
 	}
-	s := &FetchServer{listener: l, sealer: sealer, handlers: served}
+	s := &FetchServer{listener: l, sealer: sealer, handlers: handlers}
 	go s.accept()
 	return s, nil
 }
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -111,8 +111,8 @@
 	if p.OnOpen != nil {
 		p.OnOpen()
 	}
-	in := &limitedReader{r: c, remaining: unlimited}
-	return &upstreamConn{Conn: c, addr: addr, limited: in, br: bufio.NewReaderSize(in, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
+	limited := &limitedReader{r: c, remaining: unlimited}
+	return &upstreamConn{Conn: c, addr: addr, limited: limited, br: bufio.NewReaderSize(limited, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
 // bounded reads no more than it is allowed to. net/http's reading of an answer's head has
--- a/internal/routing/storerestore.go
+++ b/internal/routing/storerestore.go
@@ -32,8 +32,8 @@
 // holds reports whether an entry is the copy's, of an upstream that has ended. One that was
 // written since is not.
 func (v *View) isStale(i Instance) bool {
-	held, found := v.stale[i.ID]
-	if found && held.Revision != i.Revision {
+	stale, found := v.stale[i.ID]
+	if found && stale.Revision != i.Revision {
 		delete(v.stale, i.ID)
 		return false
 	}
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -117,11 +117,11 @@
 		v.lapsing--
 	}
 	v.journal.recordPut(i, e)
-	changed := rev
+	changedRev := rev
 	if e != nil && e.inst == i {
-		changed = e.changedRev
+		changedRev = e.changedRev
 	}
-	v.instances[i.ID] = &entry{inst: i, rev: rev, changedRev: changed}
+	v.instances[i.ID] = &entry{inst: i, rev: rev, changedRev: changedRev}
 }
 
 // Drain takes an instance's own word that it leaves, which its entry may not say yet. A start
