--- a/internal/conn/exchange.go
+++ b/internal/conn/exchange.go
@@ -13,52 +13,53 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrNotSent is an exchange of which no byte reached the upstream.
+// ErrNotSent is the type of errors for an exchange of which no byte reached the upstream.
 var ErrNotSent = namespace.NewType("not_sent")
 
-// ErrWithdrawn is an exchange that was not wanted any more when its connection was
-// there; no byte of it reached the upstream.
+// ErrWithdrawn is the type of errors for an exchange that was no longer wanted once its
+// connection was open; no byte of it reached the upstream.
 var ErrWithdrawn = namespace.NewType("withdrawn")
 
-// ErrExchange is an exchange that broke after it was sent: it may have run.
+// ErrExchange is the type of errors for an exchange that broke after it was sent: the
+// request may have run.
 var ErrExchange = namespace.NewType("exchange")
 
-// ErrSilence is the cause with which a context ends whose upstream has been silent
-// for too long.
+// ErrSilence is the cancellation cause of a context that ends because the upstream has
+// been silent for too long.
 var ErrSilence = namespace.NewType("silence").New("the upstream is silent")
 
-// Bounds of one connection to an upstream.
+// Limits of one connection to an upstream.
 const (
-	// maxStaleAnswers is how many answers to former requests are skipped on one
-	// connection before it is given up.
+	// maxStaleAnswers is how many answers to earlier requests are skipped on one
+	// connection before it is closed.
 	maxStaleAnswers = 2
-	// maxStaleBodyBytes is the largest body read past to reach the next answer.
+	// maxStaleBodyBytes is the largest body that is skipped to reach the next answer.
 	maxStaleBodyBytes = 256 << 10
-	// maxHeaderBytes is the largest head of an answer, in bytes.
+	// maxHeaderBytes is the largest response header, including the status line.
 	maxHeaderBytes = 256 << 10
-	// maxInlineBodyBytes is the largest body written before the answer is waited for; a
-	// larger one is written beside it, since an upstream may answer early.
+	// maxInlineBodyBytes is the largest body that is written before the answer is read. A
+	// larger one is written concurrently, since an upstream may answer early.
 	maxInlineBodyBytes = 2 << 10
 )
 
-// Message is a request as it is sent.
+// Message is a request to be sent.
 type Message struct {
 	Method string
 	Target string // path and query, unchanged
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Wanted is asked once the connection is there, before the first byte is
-	// written; nil is yes.
+	// StillWanted is called once the connection is open, before the first byte is
+	// written; the message is sent only if it returns true or StillWanted is nil.
 	StillWanted func() bool
-	// Began is told of the exchange before the first byte is written; may be nil.
+	// OnStart is called with the exchange before the first byte is written; may be nil.
 	OnStart func(*Exchange)
-	// Owner names the start of the upstream that the message is for, so that Abort finds
-	// the exchange; may be empty.
+	// UpstreamStart identifies the start of the upstream that the message is for, so that
+	// Abort finds the exchange; may be empty.
 	UpstreamStart string
 }
 
-// Exchange is one request and its answer. Close it when done.
+// Exchange is one request and its answer. It must be closed.
 type Exchange struct {
 	Response      *http.Response
 	pool          *Exchanges
@@ -69,10 +70,10 @@
 	closed        bool
 }
 
-// Send sends a message to an address and reads the answer's headers. own tells
-// the own answer from those to former requests of the connection. The end of ctx
-// closes the connection, which tells the upstream to stop work; that holds until
-// Close. Errors are ErrNotSent or ErrExchange.
+// Send sends a message to an address and reads the response header. own reports whether a
+// response belongs to this message and not to an earlier request on the connection. Until
+// Close, the end of ctx closes the connection, which makes the upstream stop its work.
+// Errors are ErrNotSent, ErrWithdrawn or ErrExchange.
 func (p *Exchanges) Send(ctx context.Context, addr string, m *Message, own func(*http.Response) bool) (*Exchange, error) {
 	c, err := p.getConn(ctx, addr)
 	if err != nil {
@@ -117,7 +118,7 @@
 	var b bytes.Buffer
 	b.Grow(1024 + len(m.Body)*boolInt(len(m.Body) <= maxInlineBodyBytes))
 	b.WriteString(m.Method + " " + m.Target + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
-	_ = m.Header.Write(&b) // a bytes.Buffer takes everything
+	_ = m.Header.Write(&b) // writing to a bytes.Buffer never fails
 	if len(m.Body) > 0 || m.Method == http.MethodPost || m.Method == http.MethodPut || m.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(m.Body)) + "\r\n")
 	}
@@ -132,8 +133,8 @@
 	return 0
 }
 
-// readHeader reads answers until the own one. Interim answers and late answers to
-// former requests are skipped.
+// readHeader reads response headers until the one of this exchange. Interim responses and
+// late answers to earlier requests are skipped.
 func (x *Exchange) readHeader(method string, own func(*http.Response) bool) error {
 	for stale := 0; ; {
 		x.c.limited.setLimit(maxHeaderBytes)
@@ -151,7 +152,7 @@
 			return nil
 		}
 		if stale++; stale > maxStaleAnswers || res.ContentLength < 0 || res.ContentLength > maxStaleBodyBytes || res.Close {
-			return errors.New("the answer is to another request")
+			return errors.New("the answer belongs to another request")
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			return err
@@ -159,16 +160,16 @@
 	}
 }
 
-// hear passes on the head of an answer: what an upstream says of itself holds whichever
-// request it answers.
+// reportResponse calls OnResponse, also for answers to earlier requests: what an upstream
+// states about itself is valid whichever request it answers.
 func (x *Exchange) reportResponse(res *http.Response) {
 	if x.pool.OnResponse != nil && x.upstreamStart != "" {
 		x.pool.OnResponse(x.upstreamStart, res)
 	}
 }
 
-// Close ends the exchange. whole says that the answer's body was read to its end;
-// only then is the connection kept.
+// Close ends the exchange. whole states that the body was read to its end; only then is the
+// connection reused.
 func (x *Exchange) Close(whole bool) {
 	if x.closed {
 		return
@@ -183,18 +184,18 @@
 	x.pool.putConn(x.c, x.Response.Header)
 }
 
-// ReportSilence says that the upstream stopped in the midst of its answer: what is kept
-// on the same path is doubted.
+// ReportSilence reports that the upstream fell silent in the middle of its answer. The idle
+// connections on the same path are then closed.
 func (x *Exchange) ReportSilence() { x.pool.handleSilence(x.c.addr, x.pool.clock.Now()) }
 
-// Waiting reports whether bytes of the upstream have arrived that were not read yet:
-// then it is not the upstream that is silent. Any goroutine may ask.
+// HasUnread reports whether bytes from the upstream have arrived that were not read yet:
+// then the upstream is not silent. It may be called by any goroutine.
 func (x *Exchange) HasUnread() bool {
 	n, _, known := peek(x.c.Conn)
 	return known && n > 0
 }
 
-// wrote reports whether the request has gone out whole.
+// sentWhole reports whether the request was written completely.
 func (x *Exchange) sentWhole() bool {
 	select {
 	case err := <-x.written:
@@ -209,16 +210,17 @@
 	return errorx.IsOfType(err, ErrNotSent) || IsWithdrawn(err)
 }
 
-// IsRefused reports whether an error of Send says that nothing listens at the address.
+// IsRefused reports whether an error of Send means that nothing listens at the address.
 func IsRefused(err error) bool { return isCausedBy(err, syscall.ECONNREFUSED) }
 
-// IsDisconnected reports whether an error of Send, or of reading an answer, says that the other
-// side ended the connection.
+// IsDisconnected reports whether an error of Send, or of reading an answer, means that the
+// other side closed the connection.
 func IsDisconnected(err error) bool {
 	return isCausedBy(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE)
 }
 
-// isCausedBy looks for causes also behind errors that errorx hides from errors.Is.
+// isCausedBy reports whether an error has one of the causes, including those that errorx
+// hides from errors.Is.
 func isCausedBy(err error, causes ...error) bool {
 	for err != nil {
 		for _, c := range causes {
@@ -235,5 +237,5 @@
 	return false
 }
 
-// IsWithdrawn reports whether an error of Send says that it was not wanted any more.
+// IsWithdrawn reports whether an error of Send means that the message was no longer wanted.
 func IsWithdrawn(err error) bool { return errorx.IsOfType(err, ErrWithdrawn) }
--- a/internal/conn/exchange_test.go
+++ b/internal/conn/exchange_test.go
@@ -21,7 +21,7 @@
 
 func anyAnswer(*http.Response) bool { return true }
 
-// serveRaw accepts connections and hands each to f.
+// serveRaw listens on a local port and runs f for each connection.
 func serveRaw(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,12 +80,12 @@
 	extra = true
 	_, err := get(t, p, addr)
 	require.NoError(t, err)
-	time.Sleep(50 * time.Millisecond) // the extra bytes are there in any case
+	time.Sleep(50 * time.Millisecond) // time for the extra bytes to arrive
 	extra = false
 	body, err := get(t, p, addr)
 	require.NoError(t, err)
 	assert.Equal(t, "ok", body)
-	assert.Equal(t, 2, opened, "one with bytes that nobody asked for is not used again")
+	assert.Equal(t, 2, opened, "a connection with unsolicited bytes is not reused")
 }
 
 func TestNotSentIsDistinguishedFromBroken(t *testing.T) {
@@ -101,7 +101,8 @@
 	assert.False(t, IsNotSent(err), "it may have run")
 }
 
-// An upstream may answer before it has read a long body, and read on later.
+// An upstream may answer before it has read a long body and read the rest later. Writing the
+// whole body before reading the answer would block.
 func TestAnswerBeforeLongBodyIsRead(t *testing.T) {
 	addr := serveRaw(t, func(c net.Conn) {
 		_, _ = c.Write([]byte(okAnswer))
@@ -143,12 +144,12 @@
 	one := make([]byte, 1)
 	_, err = c.Read(one)
 	require.NoError(t, err)
-	assert.Equal(t, "x", string(one), "it was not taken")
+	assert.Equal(t, "x", string(one), "NoUnread did not consume the byte")
 }
 
-// A path may go silent for the connections that are open while new ones work: what
-// is kept to that upstream is given up, and when a second one falls silent,
-// everything that is kept.
+// A network path may go silent for open connections while new ones work. After one silent
+// connection the idle ones to that upstream are closed, and after silence of a second
+// upstream all idle connections.
 func TestSilentReusedConnectionClosesIdleConnections(t *testing.T) {
 	var mute atomic.Bool
 	serve := func(c net.Conn) {
@@ -158,7 +159,7 @@
 				return
 			}
 			if n > 0 && mute.Load() {
-				continue // reads, and never answers on an old connection
+				continue // never answers on a reused connection
 			}
 			_, _ = c.Write([]byte(okAnswer))
 		}
@@ -166,9 +167,9 @@
 	a, b, d := serveRaw(t, serve), serveRaw(t, serve), serveRaw(t, serve)
 	p := NewExchanges()
 	defer p.Close()
-	opened, fell := 0, 0
+	opened, silences := 0, 0
 	p.OnOpen = func() { opened++ }
-	p.OnSilence = func(string, int) { fell++ }
+	p.OnSilence = func(string, int) { silences++ }
 	hold := func(addr string, n int) {
 		var list []*Exchange
 		for range n {
@@ -194,18 +195,19 @@
 		assert.False(t, IsNotSent(err), "it may have run")
 	}
 	silent(a)
-	assert.Equal(t, 1, fell)
+	assert.Equal(t, 1, silences)
 	_, err := get(t, p, a)
 	require.NoError(t, err, "on a new connection")
 	assert.Equal(t, 9, opened)
 	silent(b)
-	assert.Equal(t, 2, fell)
+	assert.Equal(t, 2, silences)
 	_, err = get(t, p, d)
-	require.NoError(t, err, "what is kept to others is given up too")
+	require.NoError(t, err, "idle connections to other upstreams are closed too")
 	assert.Equal(t, 10, opened)
 }
 
-// A caller that leaves says nothing about the path to the upstream.
+// A request that ends because the caller disconnected says nothing about the path to the
+// upstream, so no connections are closed.
 func TestCancelledCallerIsNotCountedAsSilence(t *testing.T) {
 	n := 0
 	addr := serveRaw(t, func(c net.Conn) {
@@ -221,7 +223,7 @@
 	})
 	p := NewExchanges()
 	defer p.Close()
-	p.OnSilence = func(string, int) { t.Error("no silence") }
+	p.OnSilence = func(string, int) { t.Error("silence was reported") }
 	_, err := get(t, p, addr)
 	require.NoError(t, err)
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Millisecond)
@@ -276,7 +278,7 @@
 	one := make([]byte, 1)
 	_, err = io.ReadFull(got.Response.Body, one)
 	require.NoError(t, err)
-	assert.False(t, x.HasUnread(), "everything that came was read")
+	assert.False(t, x.HasUnread(), "everything received was read")
 	more <- true
 	assert.Eventually(t, x.HasUnread, 10*time.Second, time.Millisecond)
 	got.Close(false)
@@ -298,11 +300,11 @@
 	assert.True(t, p.Refuses(context.Background(), addr))
 	gone, stop := context.WithCancel(context.Background())
 	stop()
-	assert.False(t, p.Refuses(gone, addr), "no answer is no refusal")
+	assert.False(t, p.Refuses(gone, addr), "a cancelled attempt is not a refusal")
 }
 
-// The VM is suspended for longer than connections are kept: the upstream has closed its
-// side, and where the path was cut meanwhile nothing says so.
+// The VM is suspended for longer than the idle timeout. The upstream has closed its side,
+// and if the network path was interrupted meanwhile, the router did not receive the close.
 func TestIdleConnectionIsNotReusedAfterSuspension(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -325,17 +327,17 @@
 	assert.False(t, c.reused)
 }
 
-// An upstream's head without an end would fill a router's memory until its process is
-// killed, and the caller's next try would do the same to the next router.
+// A response header without an end would fill a router's memory until its process is killed,
+// and the caller's retry would do the same to the next router.
 func TestEndlessHeaderIsRejected(t *testing.T) {
-	const most = 16 << 20
+	const maxSent = 16 << 20
 	sent := make(chan int, 1)
 	addr := serveRaw(t, func(c net.Conn) {
 		defer c.Close()
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		line := []byte("X-Filler: " + strings.Repeat("x", 1000) + "\r\n")
 		n, _ := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
-		for n < most {
+		for n < maxSent {
 			k, err := c.Write(line)
 			n += k
 			if err != nil {
@@ -349,11 +351,11 @@
 	_, err := p.Send(context.Background(), addr, &Message{Method: "GET", Target: "/", Host: "h", Header: http.Header{}}, anyAnswer)
 	assert.True(t, errorx.IsOfType(err, ErrExchange), "%v", err)
 	assert.False(t, IsDisconnected(err), "the upstream did not end the connection")
-	assert.Less(t, <-sent, most)
+	assert.Less(t, <-sent, maxSent)
 }
 
-// The bound is on each head alone: a body may be larger, and a kept connection may bring
-// any number of answers.
+// The limit applies to each response header separately: a body may be larger, and a reused
+// connection may deliver any number of answers.
 func TestHeaderLimitAppliesToEachAnswer(t *testing.T) {
 	const answers = 8
 	body := strings.Repeat("b", maxHeaderBytes)
@@ -379,8 +381,8 @@
 	}
 }
 
-// A process that ends may close its connections a moment before it stops listening: the
-// first look is still accepted.
+// An exiting process may close its connections shortly before it stops listening, so that
+// the first probe is still accepted.
 func TestAddressThatClosesNewConnectionIsProbedAgain(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/conn/fetch.go
+++ b/internal/conn/fetch.go
@@ -16,29 +16,30 @@
 // The JSON-RPC methods.
 const (
 	MethodVersion  = "version.get"  // returns the version in force
-	MethodContent  = "content.get"  // returns what the asker lacks of the platform's store
-	MethodSnapshot = "snapshot.get" // returns the state of the services that the peer schedules
+	MethodContent  = "content.get"  // returns the content of the platform's store that the requester lacks
+	MethodSnapshot = "snapshot.get" // returns the state of the services scheduled by the peer
 )
 
 const (
 	fetchTimeout        = 3 * time.Second
 	nonceBytes          = 16
-	codeNotFound        = 1 // no version in force
-	codeUnauthenticated = 2 // the question was not sealed by this fleet
-	// maxFetchedBytes bounds what an answer expands to: a routing table of 4 MB and the entries
-	// of 50,000 upstreams, and a small part of the smallest router's memory.
+	codeNotFound        = 1 // the handler has no answer
+	codeUnauthenticated = 2 // the query was not sealed by this fleet
+	// maxFetchedBytes bounds a decompressed answer. It suffices for a routing table of 4 MB
+	// and the entries of 50,000 upstreams, and is a small fraction of the smallest router's
+	// memory.
 	maxFetchedBytes = 16 << 20
 )
 
-// Question is what a router asks of a peer.
+// Query is a router's query to a peer.
 type Query struct {
 	Method    string
-	Requester string // peer address
-	Have      []byte // what the asker holds already, as the method reads it; may be empty
+	Requester string // peer address of the requesting router
+	Have      []byte // data that the requester has already, in the encoding of the method; may be empty
 }
 
-// FetchParams is a question as it is sent: a nonce, and the question sealed to it, which
-// proves that the asker has the fleet's key.
+// FetchParams is a query as sent: a nonce, and as proof the query sealed with the nonce,
+// which shows that the requester has the fleet's key.
 type FetchParams struct {
 	Nonce     []byte `json:"nonce"`
 	Requester string `json:"asker"`
@@ -46,35 +47,35 @@
 	Proof     []byte `json:"proof"`
 }
 
-// proof is what the asker seals.
+// proof returns the message that the requester seals.
 func (q Query) proof() []byte {
 	return append([]byte(q.Method+" "+q.Requester+"\n"), q.Have...)
 }
 
-// Served are the methods that a peer answers: each returns what the asker is given, or nil
-// for nothing. They are called by any goroutine.
+// Handlers maps method names to the functions that answer them. A handler returns nil when
+// it has no answer, and may be called by any goroutine.
 type Handlers map[string]func(Query) []byte
 
-// FetchResult is an answer, compressed, then sealed and bound to the question's nonce.
+// FetchResult is an answer, compressed and then sealed with the query's nonce.
 type FetchResult struct {
 	Sealed []byte `json:"sealed"`
 }
 
-// FetchServer answers peers that ask for the version in force.
+// FetchServer answers the queries of peers over JSON-RPC.
 type FetchServer struct {
 	listener net.Listener
 	sealer   *Sealer
 	handlers Handlers
 
 	mu     sync.Mutex
-	recent []compressedAnswer // what was compressed lately, the latest last
+	recent []compressedAnswer // recently compressed answers, the latest last
 }
 
-// packed is an answer and its compressed form.
+// compressedAnswer is an answer with its compressed form.
 type compressedAnswer struct{ raw, gzipped []byte }
 
-// maxRecentAnswers is how many compressed answers are kept: routers that ask at the same time
-// hold a few different revisions.
+// maxRecentAnswers bounds the cached compressed answers: routers that query at the same time
+// have only a few different revisions.
 const maxRecentAnswers = 4
 
 // ServeFetch listens on the peer address over TCP.
@@ -103,7 +104,8 @@
 	}
 }
 
-// quiet drops the library's own log lines; refusals are errors to the asker.
+// discardLogger drops the log lines of the JSON-RPC library; the requester receives refusals
+// as errors.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
@@ -128,8 +130,10 @@
 	return FetchResult{Sealed: s.sealer.Seal(s.compressCached(raw), p.Nonce)}, nil
 }
 
-// compressed compresses an answer once for all who ask. Load pattern: a fleet starts
-// together, and a hundred routers fetch from one seed of a fifth of a core at once.
+// compressCached returns the compressed answer, which is cached for all requesters.
+//
+// Load pattern: a fleet starts at the same time, and a hundred routers fetch at once from
+// one seed that has a fifth of a core.
 func (s *FetchServer) compressCached(raw []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +153,8 @@
 // Close stops listening.
 func (s *FetchServer) Close() error { return s.listener.Close() }
 
-// Fetch reads what a method of a peer returns. The bytes are not yet checked.
+// Fetch calls a method of a peer and returns its answer. The content of the answer is not
+// validated.
 func Fetch(ctx context.Context, q Query, addr string, sealer *Sealer) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -167,34 +172,34 @@
 	if err := rpc.Call(ctx, q.Method, p, &res); err != nil {
 		return nil, ErrPeer.Wrap(err, "fetch from %s", addr)
 	}
-	small, err := sealer.Open(res.Sealed, nonce)
+	compressed, err := sealer.Open(res.Sealed, nonce)
 	if err != nil {
 		return nil, err
 	}
-	return decompress(small)
+	return decompress(compressed)
 }
 
-// compress makes a packed version small; it is text that repeats itself.
+// compress compresses an answer with gzip; packed versions are repetitive text.
 func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	_, _ = w.Write(raw) // a bytes.Buffer takes everything
+	_, _ = w.Write(raw) // writing to a bytes.Buffer never fails
 	_ = w.Close()
 	return b.Bytes()
 }
 
-// expand undoes compress, within a bound.
-func decompress(small []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(small))
+// decompress reverses compress. It fails if the result exceeds maxFetchedBytes.
+func decompress(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
-		return nil, ErrPeer.Wrap(err, "expand an answer")
+		return nil, ErrPeer.Wrap(err, "decompress an answer")
 	}
 	raw, err := io.ReadAll(io.LimitReader(r, maxFetchedBytes+1))
 	if err != nil {
-		return nil, ErrPeer.Wrap(err, "expand an answer")
+		return nil, ErrPeer.Wrap(err, "decompress an answer")
 	}
 	if len(raw) > maxFetchedBytes {
-		return nil, ErrPeer.New("answer of more than %d bytes", maxFetchedBytes)
+		return nil, ErrPeer.New("decompressed answer has more than %d bytes", maxFetchedBytes)
 	}
 	return raw, nil
 }
--- a/internal/conn/inflight.go
+++ b/internal/conn/inflight.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// busy holds the exchanges that wait for an answer or read one, by the start of the
-// upstream that they are with. It may be used by any goroutine.
+// inFlight holds the exchanges that wait for an answer or read one, by the start of their
+// upstream. It may be used by any goroutine.
 type inFlight struct {
 	mu      sync.Mutex
 	byStart map[string]map[*Exchange]bool
@@ -35,15 +35,15 @@
 	}
 }
 
-// Abort closes the connections of all exchanges with a start of an upstream that has
-// ended, and returns their number. Each then fails as after a reset: an upstream that has
-// started again answers nothing that its former start was asked, and where the path was
-// cut meanwhile no reset says so.
-func (p *Exchanges) Abort(owner string) int {
+// Abort closes the connections of all exchanges with a start of an upstream that has ended,
+// and returns their number. Each then fails as after a connection reset: a restarted
+// upstream never answers the requests of its previous start, and no reset arrives if the
+// network path was interrupted meanwhile.
+func (p *Exchanges) Abort(start string) int {
 	p.inFlight.mu.Lock()
 	defer p.inFlight.mu.Unlock()
-	for x := range p.inFlight.byStart[owner] {
+	for x := range p.inFlight.byStart[start] {
 		x.c.Close()
 	}
-	return len(p.inFlight.byStart[owner])
+	return len(p.inFlight.byStart[start])
 }
--- a/internal/conn/inflight_test.go
+++ b/internal/conn/inflight_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An upstream that has started again answers nothing that its former start was asked.
-// Where the path was cut meanwhile no reset says so: the exchange is ended here.
+// A restarted upstream never answers the requests of its previous start. If the network path
+// was interrupted meanwhile, no reset arrives either, and without Abort the exchange keeps
+// waiting.
 func TestExchangesWithPreviousStartAreAborted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,7 +41,7 @@
 	case err := <-ended:
 		assert.False(t, IsNotSent(err), "it may have run")
 	case <-time.After(10 * time.Second):
-		t.Fatal("the exchange went on")
+		t.Fatal("the exchange was not aborted")
 	}
-	assert.Zero(t, p.Abort("a@1"), "nothing is left behind")
+	assert.Zero(t, p.Abort("a@1"), "the exchange is removed")
 }
--- a/internal/conn/peersocket.go
+++ b/internal/conn/peersocket.go
@@ -9,24 +9,24 @@
 	"github.com/silverswitch/silverswitch/internal/core/wire"
 )
 
-// Route is the UDP socket to all other routers. Send may be called by one
-// goroutine, Receive by another.
+// PeerSocket is the UDP socket for the datagrams of all other routers. Send may be called
+// by one goroutine and Receive by another.
 type PeerSocket struct {
 	self              wire.NodeID
 	sock              *net.UDPConn
 	sealer            *Sealer
-	SentBytes         metrics.Counter // bytes with UDP and IP headers
+	SentBytes         metrics.Counter // including UDP and IP headers
 	SentDatagrams     metrics.Counter
 	ReceivedBytes     metrics.Counter
 	ReceivedDatagrams metrics.Counter
-	Refused           metrics.Counter // not sealed by this fleet, or not decodable
+	Refused           metrics.Counter // datagrams not sealed by this fleet, or not decodable
 	SendFailures      metrics.Counter
 }
 
-// ipUDPHeaderBytes is what IPv4 and UDP add to each datagram.
+// ipUDPHeaderBytes is the size of the IPv4 and UDP headers of a datagram.
 const ipUDPHeaderBytes = 28
 
-// Listen opens the socket at an address with an IP number.
+// Listen opens the socket at an IP address and port.
 func Listen(addr string, sealer *Sealer, reg metrics.Registry) (*PeerSocket, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -50,9 +50,9 @@
 	}, nil
 }
 
-// Send seals and sends a datagram, and returns its bytes with UDP and IP headers. A lost one
-// is repeated by the sender's state, so failures are counted and not returned: they are 0
-// bytes.
+// Send seals and sends a datagram, and returns its size with UDP and IP headers. Failures
+// are only counted, and 0 is returned: the sender's state is sent repeatedly, which makes
+// up for lost datagrams.
 func (r *PeerSocket) Send(to wire.NodeID, d *wire.Datagram) int {
 	ap, err := netip.ParseAddrPort(string(to))
 	if err != nil {
@@ -75,8 +75,8 @@
 	return bytes
 }
 
-// Receive returns the next datagram. Whatever is not sealed by this
-// fleet for this router is counted and dropped. The error is the socket's end.
+// Receive returns the next datagram. Datagrams that are not sealed by this fleet for this
+// router are counted and dropped. An error means that the socket is closed.
 func (r *PeerSocket) Receive(buf []byte) (*wire.Datagram, error) {
 	for {
 		n, src, err := r.sock.ReadFromUDPAddrPort(buf)
@@ -101,18 +101,18 @@
 	}
 }
 
-// Waiting reports whether a datagram has arrived that was not read yet. Any goroutine may
-// ask.
+// HasUnread reports whether a datagram has arrived that was not read yet. It may be called
+// by any goroutine.
 func (r *PeerSocket) HasUnread() bool {
 	n, _, known := peek(r.sock)
 	return known && n > 0
 }
 
-// bound is what sealing a datagram binds beside its content: both ends, so that
-// one recorded elsewhere cannot be sent on as another router's.
+// additionalData returns the additional authenticated data of a datagram: both ends, so that
+// a recorded datagram cannot be replayed as that of another router.
 func additionalData(from, to wire.NodeID) []byte {
 	return []byte(string(from) + " " + string(to))
 }
 
-// Close ends the socket.
+// Close closes the socket.
 func (r *PeerSocket) Close() error { return r.sock.Close() }
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -18,60 +18,60 @@
 	"github.com/silverswitch/silverswitch/internal/clock"
 )
 
-// Bounds of the connections to upstreams.
+// Limits of the connections to upstreams.
 const (
-	// dialTimeout is many times the round trip inside a region, and well under the
+	// dialTimeout is many times the round trip within a region, and well below the
 	// second within which callers expect a new connection themselves.
 	dialTimeout = 400 * time.Millisecond
-	// defaultIdleTimeout is how long a connection is kept unused when the upstream states
-	// nothing itself.
+	// defaultIdleTimeout is how long an idle connection is kept when the upstream does
+	// not state a timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is kept from the timeout an upstream states.
+	// idleMargin is subtracted from the timeout that an upstream states.
 	idleMargin = 700 * time.Millisecond
 	// unackedTimeout is how long sent bytes may stay unacknowledged before a connection
-	// counts as broken: a path that has gone silent shows in no other way. Three
-	// packets lost in a row are sent again within it.
+	// counts as broken: a silently broken path is not detected in any other way. It
+	// leaves time to retransmit three packets lost in a row.
 	unackedTimeout = 1500 * time.Millisecond
-	// silenceWindow is the time within which kept connections to two upstreams that
-	// fall silent cast doubt on all that are kept.
+	// silenceWindow is the time within which silence on reused connections to two
+	// upstreams makes all idle connections suspect.
 	silenceWindow   = 3 * time.Second
 	readBufferBytes = 4 << 10
 )
 
-// Exchanges holds the idle connections to all upstreams. The codec is net/http's;
-// unlike its Transport, nothing here ever sends a request twice, and an answer to
-// another request is told from the own one. It may be used by any goroutine.
+// Exchanges is an HTTP/1.1 client with a pool of idle connections to all upstreams. It uses
+// the codec of net/http; unlike http.Transport it never sends a request twice, and it
+// recognises answers to other requests. It may be used by any goroutine.
 type Exchanges struct {
 	mu          sync.Mutex
 	idle        map[string][]*upstreamConn
 	inFlight    inFlight
 	lastSilence silence
 	clock       *clock.Clock
-	OnOpen      func()                         // counts new connections, may be nil
-	OnSilence   func(addr string, dropped int) // a kept connection fell silent, may be nil
-	// Heard is told of the head of every answer and of the start of the upstream that it
-	// was asked of, Message.UpstreamStart; may be nil.
-	OnResponse func(owner string, head *http.Response)
+	OnOpen      func()                         // called for each new connection; may be nil
+	OnSilence   func(addr string, dropped int) // called when an upstream fell silent on a connection; may be nil
+	// OnResponse is called with the header of every response and the UpstreamStart of the
+	// message; may be nil.
+	OnResponse func(upstreamStart string, head *http.Response)
 }
 
-// silence is the last kept connection that fell silent.
+// silence is an upstream that fell silent, and when.
 type silence struct {
 	addr string
 	at   time.Time
 }
 
-// NewExchanges returns an empty pool.
+// NewExchanges returns a client without open connections.
 func NewExchanges() *Exchanges {
 	return &Exchanges{idle: map[string][]*upstreamConn{}, inFlight: newInFlight(), clock: clock.System}
 }
 
 type upstreamConn struct {
 	net.Conn
-	reused      bool // it has served before
+	reused      bool // has served an exchange before
 	addr        string
 	limited     *limitedReader
-	br          *bufio.Reader // of in
-	idleSince   time.Time     // idle since
+	br          *bufio.Reader // reads from limited
+	idleSince   time.Time     // when it was added to the pool
 	idleTimeout time.Duration
 }
 
@@ -115,16 +115,16 @@
 	return &upstreamConn{Conn: c, addr: addr, limited: limited, br: bufio.NewReaderSize(limited, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// bounded reads no more than it is allowed to. net/http's reading of an answer's head has
-// no bound: one without an end filled a router's memory.
+// limitedReader limits the bytes read. net/http reads a response header of any size, so an
+// endless one would fill the router's memory.
 type limitedReader struct {
 	r         io.Reader
-	remaining int // bytes, noBound for any number
+	remaining int // bytes; unlimited for no limit
 }
 
 const unlimited = -1
 
-var errHeaderTooLarge = errors.New("the head of the answer is too large")
+var errHeaderTooLarge = errors.New("the response header is too large")
 
 func (b *limitedReader) setLimit(n int) { b.remaining = n }
 
@@ -149,9 +149,9 @@
 	return errors.Join(gone, err)
 }
 
-// handleSilence takes a kept connection on which nothing came back. Those that are
-// kept to the same upstream lie on the same path and are closed; when two upstreams
-// fall silent, all that are kept.
+// handleSilence handles an upstream that fell silent on a connection. The idle connections
+// to the same upstream use the same path and are closed; when two upstreams fall silent
+// within silenceWindow, all idle connections are closed.
 func (p *Exchanges) handleSilence(addr string, now time.Time) {
 	p.mu.Lock()
 	all := p.lastSilence.addr != "" && p.lastSilence.addr != addr && now.Sub(p.lastSilence.at) < silenceWindow
@@ -168,7 +168,8 @@
 	}
 }
 
-// put keeps a connection. The oldest that are too old are closed on the way.
+// putConn returns a connection to the pool and applies the idle timeout stated in a
+// response header.
 func (p *Exchanges) putConn(c *upstreamConn, h http.Header) {
 	if t := statedTimeout(h); t > 0 {
 		c.idleTimeout = max(0, t-idleMargin)
@@ -176,6 +177,7 @@
 	p.addIdle(c)
 }
 
+// addIdle adds a connection to the pool. The oldest ones past their idle timeout are closed.
 func (p *Exchanges) addIdle(c *upstreamConn) {
 	c.idleSince, c.reused = p.clock.Now(), true
 	p.mu.Lock()
@@ -192,7 +194,8 @@
 	}
 }
 
-// statedTimeout reads "timeout=N" of a Keep-Alive header, whole seconds.
+// statedTimeout parses "timeout=N" of a Keep-Alive header, in whole seconds. It returns 0
+// when there is none.
 func statedTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, val, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -203,7 +206,7 @@
 	return 0
 }
 
-// Forget closes the idle connections to an address whose upstream has ended. It
+// CloseIdle closes the idle connections to an address whose upstream has ended, and
 // returns their number.
 func (p *Exchanges) CloseIdle(addr string) int {
 	p.mu.Lock()
@@ -216,7 +219,7 @@
 	return len(list)
 }
 
-// Close ends every idle connection.
+// Close closes all idle connections.
 func (p *Exchanges) Close() { p.closeAllIdle() }
 
 func (p *Exchanges) closeAllIdle() int {
@@ -234,21 +237,22 @@
 	return n
 }
 
-// isOpenWithoutUnread looks at an idle connection without waiting: bytes that nobody
-// asked for, an end or an error make it useless.
+// isOpenWithoutUnread checks an idle connection without blocking. It returns false for
+// unsolicited bytes, a closed connection or an error; such a connection cannot be used.
 func isOpenWithoutUnread(c net.Conn) bool {
 	_, err, known := peek(c)
 	return !known || err == syscall.EAGAIN
 }
 
-// Quiet reports whether no byte waits on a connection to be read. One that cannot
-// be looked at counts as quiet.
+// NoUnread reports whether a connection has no unread bytes. It returns true for a
+// connection that cannot be checked.
 func NoUnread(c net.Conn) bool {
 	n, _, known := peek(c)
 	return !known || n <= 0
 }
 
-// peek looks for a byte without taking it and without waiting.
+// peek checks for an unread byte without consuming it and without blocking. known is false
+// for connections without a file descriptor.
 func peek(c net.Conn) (n int, err error, known bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/conn/probe.go
+++ b/internal/conn/probe.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// exitAcceptWindow is how long after its other connections a process that ends may go on
-// accepting. One that accepts and closes at once is looked at again.
+// exitAcceptWindow is how long an exiting process may accept connections after it has closed
+// the others. An address that accepts a connection and closes it at once is probed again.
 const exitAcceptWindow = 100 * time.Millisecond
 
-// Refuses opens a connection to an address and reports whether it is refused: nothing
-// listens there any more. One that is accepted is kept for the next request.
+// Refuses opens a connection to an address and reports whether it is refused, so that
+// nothing listens there any more. An accepted connection is kept for the next request.
 func (p *Exchanges) Refuses(ctx context.Context, addr string) bool {
 	c, err := p.dial(ctx, addr)
 	if err == nil && !staysOpen(ctx, c.Conn) {
@@ -25,7 +25,7 @@
 	return false
 }
 
-// Refuses is the same for an address of which no connections are kept.
+// Refuses is like Exchanges.Refuses, but closes an accepted connection.
 func Refuses(ctx context.Context, addr string) bool {
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -40,7 +40,7 @@
 	return false
 }
 
-// staysOpen reports whether the other side keeps a new connection open for a while.
+// staysOpen reports whether a new connection is still open after exitAcceptWindow.
 func staysOpen(ctx context.Context, c net.Conn) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/conn/seal_test.go
+++ b/internal/conn/seal_test.go
@@ -28,12 +28,12 @@
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(raw))
 	_, err = s.Open(sealed, []byte("a c"))
-	assert.Error(t, err, "for another receiver")
+	assert.Error(t, err, "sealed for another receiver")
 	sealed[20] ^= 1
 	_, err = s.Open(sealed, []byte("a b"))
-	assert.Error(t, err, "changed on the way")
+	assert.Error(t, err, "modified in transit")
 	_, err = sealer(t, "another-secret-of-a-fleet").Open(s.Seal([]byte("x"), nil), nil)
-	assert.Error(t, err, "of another fleet")
+	assert.Error(t, err, "sealed by another fleet")
 	_, err = NewSealer("short", "route")
 	assert.ErrorContains(t, err, "16 or more")
 }
--- a/internal/conn/upstream.go
+++ b/internal/conn/upstream.go
@@ -9,7 +9,7 @@
 
 func unmarshal(raw json.RawMessage, v any) error { return json.Unmarshal(raw, v) }
 
-// Limits bounds each phase of a call to an upstream.
+// Limits bounds the phases of a call to an upstream and the idle connections.
 type Limits struct {
 	DialTimeout    time.Duration
 	IdleTimeout    time.Duration
@@ -17,7 +17,7 @@
 	MaxHeaderBytes int
 }
 
-// DefaultLimits suit upstreams a millisecond away.
+// DefaultLimits are for upstreams about a millisecond away.
 var DefaultLimits = Limits{
 	DialTimeout:    2 * time.Second,
 	IdleTimeout:    90 * time.Second,
@@ -25,21 +25,20 @@
 	MaxHeaderBytes: 32 << 10,
 }
 
-// Upstreams holds the connections to all upstreams. It may be used by any
-// goroutine.
+// Upstreams holds the HTTP transports to all upstreams. It may be used by any goroutine.
 //
-// net/http sends a request again by itself when a reused connection dies before
-// the first byte of the reply and the request is replayable: a GET, HEAD, OPTIONS
-// or TRACE, or one with an Idempotency-Key header, whose body is empty or can be
-// rewound (Request.GetBody). What may not be repeated therefore goes through
-// Once, which never reuses a connection, with GetBody unset.
+// net/http resends a request by itself when a reused connection breaks before the first
+// byte of the response and the request is replayable: a GET, HEAD, OPTIONS or TRACE, or
+// one with an Idempotency-Key header, whose body is empty or can be rewound
+// (Request.GetBody). Requests that must not be repeated therefore go through SingleUse,
+// which never reuses a connection, with GetBody unset.
 type Upstreams struct {
 	Pooled     http.RoundTripper
 	SingleUse  http.RoundTripper
 	transports []*http.Transport
 }
 
-// NewUpstreams returns empty pools.
+// NewUpstreams returns transports without open connections.
 func NewUpstreams(l Limits) *Upstreams {
 	pooled, once := newTransport(l), newTransport(l)
 	once.DisableKeepAlives = true
@@ -59,7 +58,7 @@
 	}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (u *Upstreams) Close() {
 	for _, t := range u.transports {
 		t.CloseIdleConnections()
