--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock tells the time that has passed for everyone else. Go's monotonic clock
-// stands still while the VM is suspended, so leases, deadlines and ages measured by it
-// seem to have time left that has gone by; the wall clock goes on, but jumps when it is
-// set. This one goes on and does not jump back.
+// Package clock provides a monotonic clock that includes the time during which the VM was
+// suspended. Go's monotonic clock stands still during a suspension, so leases, deadlines
+// and ages measured with it expire too late; the wall clock advances, but jumps when it is
+// set.
 package clock
 
 import (
@@ -14,26 +14,27 @@
 )
 
 const (
-	// minSuspension is what the two clocks must part by to count as a suspension: two
-	// readings one after the other differ by microseconds.
+	// minSuspension is the smallest difference between the two system clocks that counts
+	// as a suspension: consecutive readings differ by microseconds.
 	minSuspension = 5 * time.Millisecond
-	// maxReadDuration is how long a reading of both clocks may take; one that was interrupted
-	// for longer is made anew.
+	// maxReadDuration is how long a reading of both clocks may take. It is repeated when it
+	// was interrupted for longer.
 	maxReadDuration = time.Millisecond
-	// maxReadAttempts bounds how often it is made anew; the next look is soon.
+	// maxReadAttempts bounds the attempts of one reading; the next Refresh follows soon.
 	maxReadAttempts = 3
 )
 
-// Clock is one clock. It may be used by any goroutine.
+// Clock is a monotonic clock that includes suspensions of the VM. It may be used by any
+// goroutine.
 type Clock struct {
-	suspended        func() (time.Duration, bool) // in all so far; false when it cannot be told
-	suspendedAtStart time.Duration                // of it, when the clock was made
-	offset           atomic.Int64                 // of the monotonic clock, in nanoseconds
+	suspended        func() (time.Duration, bool) // total so far; false when unknown
+	suspendedAtStart time.Duration                // total when the clock was created
+	offset           atomic.Int64                 // ahead of Go's monotonic clock, in nanoseconds
 	mu               sync.Mutex
 	contexts         map[*deadlineContext]bool
 }
 
-// wait is a context that ends at a time of the clock.
+// deadlineContext is a context with a deadline by this clock.
 type deadlineContext struct {
 	deadline time.Time
 	cancel   context.CancelFunc
@@ -42,15 +43,16 @@
 // System is the clock of this VM.
 var System = New(SuspendedSinceBoot)
 
-// New returns a clock that learns from a function for how long the VM has been suspended
-// in all.
+// New returns a clock. The function returns the total time for which the VM has been
+// suspended, and false when that is unknown.
 func New(suspended func() (time.Duration, bool)) *Clock {
 	c := &Clock{suspended: suspended, contexts: map[*deadlineContext]bool{}}
 	c.suspendedAtStart, _ = suspended()
 	return c
 }
 
-// SuspendedSinceBoot returns for how long the VM has been suspended since it booted.
+// SuspendedSinceBoot returns the total time for which the VM has been suspended since boot,
+// and false when it is unknown.
 func SuspendedSinceBoot() (time.Duration, bool) {
 	for range maxReadAttempts {
 		before, ok1 := readClock(unix.CLOCK_MONOTONIC)
@@ -69,27 +71,27 @@
 func readClock(id int32) (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
-		return 0, false // a system without it suspends nothing that could be told
+		return 0, false // on a system without these clocks suspensions cannot be detected
 	}
 	return time.Duration(t.Nano()), true
 }
 
-// Now returns the time. Differences between two of its results are right across a
-// suspension, from the next Refresh on.
+// Now returns the current time. Differences between two results include a suspension after
+// the next Refresh.
 func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
 
-// Since returns the time since one that Now returned.
+// Since returns the time elapsed since t, a time of this clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time until one.
+// Until returns the time remaining until t, a time of this clock.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Monotonic returns a time of this clock as Go's own timers and deadlines of connections
-// take it.
+// Monotonic converts a time of this clock for use with Go's timers and the deadlines of
+// connections.
 func (c *Clock) Monotonic(t time.Time) time.Time { return t.Add(-time.Duration(c.offset.Load())) }
 
-// Refresh looks whether the VM was suspended since the last time, and returns for how
-// long. Contexts whose time is over by then end at once.
+// Refresh checks whether the VM was suspended since the last call and returns for how long.
+// Contexts whose deadline has passed end at once.
 func (c *Clock) Refresh() time.Duration {
 	total, known := c.suspended()
 	if !known {
@@ -103,12 +105,12 @@
 	}
 	c.offset.Add(int64(jump))
 	for w := range c.contexts {
-		time.AfterFunc(c.Until(w.deadline), w.cancel) // its own timer is late by the jump
+		time.AfterFunc(c.Until(w.deadline), w.cancel) // the context's own timer is late by the suspended time
 	}
 	return jump
 }
 
-// WithDeadline returns a context that ends at a time of this clock.
+// WithDeadline returns a context with a deadline by this clock.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, end := context.WithTimeout(parent, c.Until(at))
 	w := &deadlineContext{at, end}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// stepped is a clock whose VM is suspended by the test.
+// newTestClock returns a clock and a function that simulates a suspension of the VM.
 func newTestClock() (*Clock, func(time.Duration)) {
 	var total atomic.Int64
-	total.Store(int64(time.Hour)) // before the process started
+	total.Store(int64(time.Hour)) // suspended before the process started
 	c := New(func() (time.Duration, bool) { return time.Duration(total.Load()), true })
 	return c, func(d time.Duration) { total.Add(int64(d)) }
 }
@@ -23,7 +23,7 @@
 	assert.Zero(t, c.Refresh())
 	suspend(4 * time.Second)
 	assert.Equal(t, 4*time.Second, c.Refresh())
-	assert.Zero(t, c.Refresh(), "once")
+	assert.Zero(t, c.Refresh(), "reported only once")
 	assert.GreaterOrEqual(t, c.Since(began), 4*time.Second)
 	assert.LessOrEqual(t, c.Until(began.Add(4*time.Second)), time.Duration(0))
 }
@@ -63,10 +63,10 @@
 func TestSystemReportsSuspensions(t *testing.T) {
 	_, known := SuspendedSinceBoot()
 	assert.True(t, known)
-	assert.Zero(t, System.Refresh(), "none while the test runs")
+	assert.Zero(t, System.Refresh(), "no suspension while the test runs")
 }
 
-// BenchmarkRefresh is what each look costs: a hundred a second are made.
+// BenchmarkRefresh measures a call of Refresh, which is called a hundred times a second.
 func BenchmarkRefresh(b *testing.B) {
 	for b.Loop() {
 		System.Refresh()
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint names a request by what it asks, so that it is known again when
-// it comes with another request ID, at another router or with other headers.
+// Package fingerprint identifies requests by their content, so that a request is recognised
+// when it is repeated with another request ID, with other headers or at another router.
 package fingerprint
 
 import (
@@ -12,31 +12,32 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrKey is a fleet secret from which no key can be derived.
+// ErrKey is the type of errors for a fleet secret from which no key can be derived.
 var ErrKey = errorx.NewNamespace("fingerprint").NewType("key")
 
-// Fingerprint names the content of a request inside the fleet. 64 bits: of 2,000 that are
-// remembered, one in 9e15 others is taken for one of them.
+// Fingerprint identifies the content of a request within the fleet. It has 64 bits: with
+// 2,000 remembered fingerprints, one in 9e15 other requests collides with one of them.
 type Fingerprint uint64
 
-// String returns it as logs and status pages show it.
+// String returns the fingerprint as shown in logs and status pages.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Key makes fingerprints. It is derived from the fleet's secret: a plain hash of a short
-// body could be guessed by whoever reads logs. It may be used by any goroutine.
+// Key computes fingerprints. It is derived from the fleet's secret, since the content of a
+// short body could be guessed from a plain hash in the logs. It may be used by any
+// goroutine.
 type Key struct{ key []byte }
 
 // NewKey derives the key from the fleet's secret.
 func NewKey(secret string) (*Key, error) {
 	key, err := hkdf.Key(sha256.New, []byte(secret), nil, "silverswitch/1 fingerprint", sha256.Size)
 	if err != nil {
-		return nil, ErrKey.Wrap(err, "derive key")
+		return nil, ErrKey.Wrap(err, "derive the key from the secret")
 	}
 	return &Key{key}, nil
 }
 
-// Content is what two requests have in common that are the same. The organisation is part
-// of it, so that no organisation's requests are judged by another's.
+// Content is the part of a request by which repetitions are recognised. It includes the
+// organisation, so that an organisation's requests do not affect those of another.
 type Content struct {
 	Organisation string
 	Method       string
@@ -45,7 +46,7 @@
 	Body         []byte
 }
 
-// Of returns the fingerprint of a content.
+// Of returns the fingerprint of a request's content.
 func (k *Key) Of(c Content) Fingerprint {
 	h := hmac.New(sha256.New, k.key)
 	for _, field := range []string{c.Organisation, c.Method, c.Host, c.Target} {
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -19,8 +19,8 @@
 	k := key(t, "a secret of the fleet")
 	c := Content{Organisation: "alpha", Method: "POST", Host: "h.example", Target: "/a/b", Body: []byte("body")}
 	same := k.Of(c)
-	assert.Equal(t, same, key(t, "a secret of the fleet").Of(c), "every router of the fleet knows it again")
-	assert.NotEqual(t, same, key(t, "another secret").Of(c), "nobody without the secret can tell the content")
+	assert.Equal(t, same, key(t, "a secret of the fleet").Of(c), "every router of the fleet computes the same")
+	assert.NotEqual(t, same, key(t, "another secret").Of(c), "the content cannot be guessed without the secret")
 	for name, other := range map[string]Content{
 		"organisation": {Organisation: "beta", Method: "POST", Host: "h.example", Target: "/a/b", Body: []byte("body")},
 		"method":       {Organisation: "alpha", Method: "PUT", Host: "h.example", Target: "/a/b", Body: []byte("body")},
@@ -33,8 +33,8 @@
 	}
 }
 
-// BenchmarkFingerprint is what a router spends on a body of 40 KB when it must know it
-// again. Routers compute none while no request of the organisation is suspected.
+// BenchmarkFingerprint measures the fingerprint of a request with a body of 40 KB. Routers
+// compute none while no request of the organisation is suspected.
 func BenchmarkFingerprint(b *testing.B) {
 	k := key(b, "a secret of the fleet")
 	c := Content{Organisation: "alpha", Method: "POST", Host: "h.example", Target: "/a/b", Body: bytes.Repeat([]byte("x"), 40<<10)}
--- a/internal/inifile/fault.go
+++ b/internal/inifile/fault.go
@@ -1,6 +1,6 @@
-// Package inifile reads INI files strictly: every section and key is checked,
-// unknown and repeated ones are refused, and every fault names the file, the
-// section, the key, the value and what would be allowed.
+// Package inifile reads INI files strictly: every section and key is validated, unknown and
+// repeated ones are rejected, and every fault names the file, the section, the key, the
+// value and what is allowed.
 package inifile
 
 import (
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a file. It names the file, the
-// section, the key, the value found and what would have been allowed.
+// Fault is a validation error in a file. It names the file, the section, the key, the value
+// found and what is allowed.
 type Fault struct {
 	File    string
 	Section string
@@ -18,7 +18,7 @@
 	Allowed string
 }
 
-// Error renders the fault on one line.
+// Error returns the fault on one line.
 func (f Fault) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -32,10 +32,11 @@
 	return b.String()
 }
 
-// Faults is every fault found; what has any is rejected whole.
+// Faults are all faults found in a configuration. A configuration with any fault is rejected
+// as a whole.
 type Faults []Fault
 
-// Error renders one fault a line.
+// Error returns the faults, one per line.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -11,17 +11,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// loadOptions turn off what would guess at an operator's meaning.
+// loadOptions turn off the lenient parsing that would guess what an operator meant.
 var loadOptions = ini.LoadOptions{
-	AllowShadows:            true, // keeps duplicates, so that they can be refused
+	AllowShadows:            true, // keeps duplicate keys, so that they can be rejected
 	IgnoreInlineComment:     true,
 	IgnoreContinuation:      true,
 	SkipUnrecognizableLines: false,
 	KeyValueDelimiters:      "=",
 }
 
-// Section reads one INI section, collects faults, and knows which keys were
-// asked for, so that every other key is refused.
+// Section reads one INI section, collects faults and records which keys were read, so that
+// CheckUnknownKeys can reject all others.
 type Section struct {
 	File     string
 	Name     string
@@ -30,13 +30,12 @@
 	faults   *Faults
 }
 
-// New returns a section that was not read from a file as it stands, such as one
-// made from a template.
+// New returns a section with given values, such as one made from a template.
 func New(file, name string, values map[string]string, faults *Faults) *Section {
 	return &Section{File: file, Name: name, Values: values, readKeys: map[string]bool{}, faults: faults}
 }
 
-// Parse splits a file into sections; duplicates are faults.
+// Parse parses a file into sections. Syntax errors and repeated keys are faults.
 func Parse(file, text string, faults *Faults) []*Section {
 	f, err := ini.LoadSources(loadOptions, []byte(text))
 	if err != nil {
@@ -64,7 +63,7 @@
 	return s
 }
 
-// Fault adds a fault about one of the section's keys.
+// Fault adds a fault for a key of the section. An empty key stands for the whole section.
 func (s *Section) Fault(key, value, allowed string) {
 	*s.faults = append(*s.faults, Fault{File: s.File, Section: s.Name, Key: key, Value: value, Allowed: "allowed: " + allowed})
 }
@@ -81,7 +80,7 @@
 	return ok
 }
 
-// Text returns a required value.
+// Text returns a required, non-empty value.
 func (s *Section) Text(key string) string {
 	s.readKeys[key] = true
 	v, ok := s.Values[key]
@@ -100,7 +99,7 @@
 	return def
 }
 
-// OneOf returns a value that must be one of those allowed.
+// OneOf returns a value that must be one of the allowed ones.
 func (s *Section) OneOf(key, def string, allowed ...string) string {
 	v := s.TextOr(key, def)
 	for _, a := range allowed {
@@ -112,12 +111,12 @@
 	return def
 }
 
-// Boolean returns true or false.
+// Boolean returns a value that must be true or false.
 func (s *Section) Boolean(key string, def bool) bool {
 	return s.OneOf(key, strconv.FormatBool(def), "true", "false") == "true"
 }
 
-// Integer returns a whole number within bounds.
+// Integer returns a whole number from lo to hi.
 func (s *Section) Integer(key string, def, lo, hi int) int {
 	v := s.TextOr(key, strconv.Itoa(def))
 	n, err := strconv.Atoi(v)
@@ -128,7 +127,7 @@
 	return n
 }
 
-// Number returns a number within bounds.
+// Number returns a number from lo to hi.
 func (s *Section) Number(key string, def, lo, hi float64) float64 {
 	v := s.TextOr(key, strconv.FormatFloat(def, 'g', -1, 64))
 	n, err := strconv.ParseFloat(v, 64)
@@ -139,7 +138,7 @@
 	return n
 }
 
-// Duration returns a duration, written with its unit, within bounds.
+// Duration returns a duration, written with its unit, from lo to hi.
 func (s *Section) Duration(key string, def, lo, hi time.Duration) time.Duration {
 	v := s.TextOr(key, def.String())
 	d, err := time.ParseDuration(v)
@@ -150,7 +149,7 @@
 	return d
 }
 
-// Address returns a required IP number and port.
+// Address returns a required IP address and port.
 func (s *Section) Address(key string) string {
 	v := s.Text(key)
 	if _, err := netip.ParseAddrPort(v); err != nil && v != "" {
@@ -159,7 +158,7 @@
 	return v
 }
 
-// List splits a comma-separated value; empty entries are faults.
+// List returns the entries of a required comma-separated value. Empty entries are faults.
 func (s *Section) List(key string) []string {
 	v := s.Text(key)
 	if v == "" {
@@ -175,7 +174,7 @@
 	return parts
 }
 
-// Done refuses every key that nobody asked for.
+// CheckUnknownKeys adds a fault for every key that was not read before.
 func (s *Section) CheckUnknownKeys() {
 	known := make([]string, 0, len(s.readKeys))
 	for k := range s.readKeys {
--- a/internal/version/describe.go
+++ b/internal/version/describe.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Describe renders what an organisation gets, for a person.
+// Describe returns a readable description of an organisation's configuration.
 func (v *Version) Describe(o *Organisation) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "organisation %s (template %s)\n", o.Name, o.Template)
@@ -48,7 +48,7 @@
 
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Names returns the organisations' names, sorted.
+// Names returns the names of the organisations, sorted.
 func (v *Version) Names() []string { return sortedNames(v.byName) }
 
 // Change is one difference between two versions.
@@ -57,8 +57,9 @@
 	Detail  string
 }
 
-// Diff lists what a newer version changes: who comes and goes, who gains or
-// loses a place, a share or an application, and which upstreams change.
+// Diff lists the changes between two versions: organisations added, removed or changed in
+// their places, share, queue limit, keys or applications, places evacuated or returned, and
+// upstreams added, removed or changed.
 func Diff(old, new *Version) []Change {
 	var out []Change
 	add := func(subject, format string, args ...any) {
@@ -89,7 +90,7 @@
 		if b.Evacuated {
 			add("place "+name, "is evacuated: nothing new is sent to its upstreams")
 		} else {
-			add("place "+name, "is taken back")
+			add("place "+name, "is no longer evacuated")
 		}
 	}
 }
@@ -143,7 +144,8 @@
 	}
 }
 
-// withEvacuatedOf is y with x's place as it was: a place that is evacuated is one change.
+// withEvacuatedOf returns y with Evacuated as in x, so that the evacuation of a place is
+// listed as one change and not once per upstream.
 func withEvacuatedOf(x, y *Upstream) Upstream {
 	out := *y
 	out.Evacuated = x.Evacuated
@@ -169,8 +171,8 @@
 	return sortedNames(all)
 }
 
-// Explain says, a line a step, where a request would go or why it would be
-// refused. place is that of the router it enters by, or "" for any.
+// Explain returns, in lines, where a request would be sent or why it would be refused. place
+// is that of the router that receives the request, or "" for any.
 func (v *Version) Explain(org, app, place string) []string {
 	o := v.byName[org]
 	if o == nil {
--- a/internal/version/load.go
+++ b/internal/version/load.go
@@ -11,14 +11,14 @@
 	"github.com/silverswitch/silverswitch/internal/inifile"
 )
 
-// File names inside a packed version.
+// File names in a packed version.
 const (
 	FleetFile       = "fleet.ini"
 	TemplateDir     = "templates/"
 	OrganisationDir = "organisations/"
 )
 
-// Bounds of the values an operator may publish.
+// Limits and defaults of the configuration's values.
 const (
 	minShare          = 0.01
 	maxShare          = 1000
@@ -33,7 +33,7 @@
 	minTimeout        = 10 * time.Millisecond
 )
 
-// loader carries the state of one Load.
+// loader is the state of one Load.
 type loader struct {
 	packed    Packed
 	version   *Version
@@ -42,9 +42,9 @@
 	ids       map[ID]string
 }
 
-// Load checks a packed value completely and returns the version, or Faults that
-// name every file, key and value at fault. The verdict depends on raw alone, so
-// every router reaches the same one.
+// Load validates a packed value completely and returns the version, or inifile.Faults that
+// name every invalid file, key and value. The result depends on raw alone, so that every
+// router accepts or rejects the same values.
 func Load(raw []byte) (*Version, error) {
 	p, err := Decode(raw)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// checkFileNames refuses files that no part of the loader reads.
+// checkFileNames reports files that the loader does not read.
 func (l *loader) checkFileNames() {
 	for _, name := range l.packed.fileNames("") {
 		known := name == FleetFile || strings.HasPrefix(name, TemplateDir) || strings.HasPrefix(name, OrganisationDir)
@@ -104,7 +104,7 @@
 	l.faults = append(l.faults, inifile.Fault{File: file, Section: sec, Key: key, Value: value, Allowed: "allowed: " + allowed})
 }
 
-// claimID refuses two names with one ID.
+// claimID returns the ID of a name and reports a collision with another name.
 func (l *loader) claimID(file, name string) ID {
 	id := IDOf(name)
 	if other, taken := l.ids[id]; taken {
@@ -169,7 +169,7 @@
 	l.version.Upstreams[u.ID] = u
 }
 
-// buildPools cuts the fleet into one pool for each service and region.
+// buildPools groups the upstreams into one pool per service and region.
 func (l *loader) buildPools() {
 	for _, id := range sortedIDs(l.version.Upstreams) {
 		u := l.version.Upstreams[id]
@@ -235,6 +235,7 @@
 	return out
 }
 
+// nameList returns the sorted keys of a map for an error message.
 func nameList[V any](m map[string]V) string { return strings.Join(sortedNames(m), ", ") }
 
 func sortedIDs[V any](m map[ID]V) []ID { return slices.Sorted(maps.Keys(m)) }
--- a/internal/version/load_test.go
+++ b/internal/version/load_test.go
@@ -78,9 +78,9 @@
 	assert.True(t, o.Allows("hakata-a"))
 	assert.False(t, o.Allows("kokura"))
 	assert.True(t, o.Applications["hints"].Idempotent)
-	assert.False(t, o.Applications["order"].Idempotent, "what is not said to be idempotent is not")
+	assert.False(t, o.Applications["order"].Idempotent, "not idempotent by default")
 	assert.Len(t, v.PoolsOf(o, "cards"), 1)
-	assert.Empty(t, v.PoolsOf(o, "counter"), "its only upstream stands in kokura")
+	assert.Empty(t, v.PoolsOf(o, "counter"), "its only upstream is in kokura")
 	assert.Same(t, o, v.ByKeyHash(o.KeyHashes[0]))
 }
 
@@ -204,7 +204,7 @@
 		assert.Equal(t, u.Place == "hakata-a", u.Closed(), u.Name)
 	}
 	assert.Equal(t, []Change{{"place hakata-a", "is evacuated: nothing new is sent to its upstreams"}}, Diff(before, after))
-	assert.Equal(t, []Change{{"place hakata-a", "is taken back"}}, Diff(after, before))
+	assert.Equal(t, []Change{{"place hakata-a", "is no longer evacuated"}}, Diff(after, before))
 	assert.Contains(t, strings.Join(after.Explain("nishi", "hints", ""), "\n"), "not c1: place hakata-a is evacuated")
 	f[FleetFile] = strings.Replace(fleetText, "[place hakata-a]\n", "[place hakata-a]\nstate = empty\n", 1)
 	_, err = load(t, f)
@@ -233,7 +233,7 @@
 	})
 }
 
-// plannedFleet is 390 organisations, 14 models, 1,600 servers.
+// plannedFleet returns a configuration of 390 organisations, 14 models and 1,600 upstreams.
 func plannedFleet() map[string]string {
 	var fleet strings.Builder
 	for i := range 11 {
--- a/internal/version/model.go
+++ b/internal/version/model.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID is the 32-bit name of an organisation, upstream, pool or place inside
-// control messages. Load rejects a version in which two names share an ID.
+// ID is the 32-bit identifier of an organisation, upstream, pool or place in control
+// messages. Load rejects a version in which two names have the same ID.
 type ID uint32
 
-// IDOf returns the ID of a name. Zero is reserved for "any".
+// IDOf returns the ID of a name, which is never 0. Zero is reserved for "any".
 func IDOf(name string) ID {
 	id := ID(xxhash.Sum64String(name))
 	if id == 0 {
@@ -27,8 +27,8 @@
 	Hash     uint64
 }
 
-// Less orders versions the same way on every router: by revision, then by hash,
-// so that two values published under one revision have one winner everywhere.
+// Less orders versions by revision and then by hash, so that every router chooses the same
+// one of two values published under one revision.
 func (n Number) Less(o Number) bool {
 	if n.Revision != o.Revision {
 		return n.Revision < o.Revision
@@ -36,7 +36,7 @@
 	return n.Hash < o.Hash
 }
 
-// Kind tells a model engine from a plain service.
+// Kind is the kind of a service.
 type Kind string
 
 // The kinds of service.
@@ -45,16 +45,16 @@
 	KindPlain Kind = "plain"
 )
 
-// Unit is what one organisation's service is counted in.
+// Unit is the unit in which the service received by an organisation is measured.
 type Unit string
 
-// The units of service: tokens generated, or answered requests times worth.
+// The units of service: generated tokens, or answered requests times their worth.
 const (
 	UnitTokens   Unit = "tokens"
 	UnitAnswered Unit = "answered"
 )
 
-// Priority orders requests inside one organisation's share.
+// Priority orders the requests within one organisation's share.
 type Priority string
 
 // The priorities of an application.
@@ -63,14 +63,14 @@
 	PriorityNormal Priority = "normal"
 )
 
-// Place is a failure domain in which routers and upstreams stand.
+// Place is a failure domain that contains routers and upstreams.
 type Place struct {
 	Name      string
 	Region    string
-	Evacuated bool // nothing new is sent to its upstreams; its routers go on taking callers
+	Evacuated bool // its upstreams receive no new requests; its routers still accept callers
 }
 
-// Service is a model or a plain service that upstreams offer.
+// Service is a model or a plain service offered by upstreams.
 type Service struct {
 	Name string
 	Kind Kind
@@ -82,29 +82,29 @@
 	Name      string
 	Service   string
 	Place     string
-	Address   string // host:port by IP number
+	Address   string // IP address and port
 	Slots     int    // requests it may run at once
-	Leaving   bool   // receives no new work
+	Leaving   bool   // receives no new requests
 	Pool      ID
-	Evacuated bool // its place is
+	Evacuated bool // whether its place is evacuated
 }
 
-// Closed reports whether nothing new is to be sent to the upstream.
+// Closed reports whether the upstream receives no new requests.
 func (u *Upstream) Closed() bool { return u.Leaving || u.Evacuated }
 
-// Application is one thing an organisation may call.
+// Application configures the use of a service by an organisation.
 type Application struct {
 	Name       string
 	Service    string
 	Idempotent bool
 	Priority   Priority
 	HintTokens int           // expected tokens of an answer, 0 when unknown
-	Unit       Unit          // how service is counted
-	Worth      float64       // service of one answered request, in tokens
-	Timeout    time.Duration // longest time from arrival to the last byte
+	Unit       Unit          // unit in which its service is measured
+	Worth      float64       // service per answered request, in tokens
+	Timeout    time.Duration // limit from the arrival of a request to the last byte of its answer
 }
 
-// Organisation is one customer of the operators, with its template applied.
+// Organisation is a customer of the operators, after its template was applied.
 type Organisation struct {
 	ID           ID
 	Name         string
@@ -112,11 +112,12 @@
 	KeyHashes    [][32]byte // SHA-256 of each API key
 	Places       map[string]bool
 	Share        float64
-	QueueLimit   int // requests that may wait at one router
+	QueueLimit   int // number of requests that may wait at one router
 	Applications map[string]*Application
 }
 
-// Pool is the upstreams of one service in one region; one scheduler grants it.
+// Pool is the set of upstreams of one service in one region, whose capacity is granted by
+// one scheduler.
 type Pool struct {
 	ID        ID
 	Service   string
@@ -124,7 +125,7 @@
 	Upstreams []*Upstream
 }
 
-// Version is one checked configuration. It is never changed after Load.
+// Version is a validated configuration. It is immutable after Load.
 type Version struct {
 	Number        Number
 	Packed        []byte
@@ -137,17 +138,17 @@
 	byName        map[string]*Organisation
 }
 
-// ByKeyHash returns the organisation whose API key hashes to sum, or nil. The map
-// is keyed by the hash, so timing tells nothing about a key's characters.
+// ByKeyHash returns the organisation with an API key of the given SHA-256 hash, or nil. The
+// lookup is by hash, so that timing reveals nothing about a key's characters.
 func (v *Version) ByKeyHash(sum [32]byte) *Organisation { return v.byKeyHash[sum] }
 
-// ByName returns the organisation of that name, or nil.
+// ByName returns the organisation with a name, or nil.
 func (v *Version) ByName(name string) *Organisation { return v.byName[name] }
 
-// Allows reports whether the organisation's requests may be in a place.
+// Allows reports whether the organisation's requests may be handled in a place.
 func (o *Organisation) Allows(place string) bool { return o.Places[place] }
 
-// Calls reports whether an application of the organisation uses the service.
+// UsesService reports whether an application of the organisation uses a service.
 func (o *Organisation) UsesService(service string) bool {
 	for _, a := range o.Applications {
 		if a.Service == service {
@@ -157,8 +158,8 @@
 	return false
 }
 
-// PoolsOf returns the pools that hold at least one upstream of the service in a
-// place the organisation allows, in ID order.
+// PoolsOf returns the IDs of the service's pools with at least one upstream in a place that
+// the organisation allows, in order.
 func (v *Version) PoolsOf(o *Organisation, service string) []ID {
 	var ids []ID
 	for _, p := range sortedPools(v.Pools) {
--- a/internal/version/packed.go
+++ b/internal/version/packed.go
@@ -12,24 +12,24 @@
 	"github.com/joomcode/errorx"
 )
 
-// MaxPackedBytes is the largest value the configuration service holds, in bytes.
+// MaxPackedBytes is the largest value that the configuration service can hold.
 const MaxPackedBytes = 1 << 20
 
-// Errors of this package that are not faults of the content.
+// Errors of this package, apart from faults in the content.
 var (
 	namespace = errorx.NewNamespace("version")
-	// ErrPacked is a value that is not a packed version at all.
+	// ErrPacked is the type of errors for a value that is not a packed version.
 	ErrPacked = namespace.NewType("packed")
 )
 
-// Packed is the published form of a version: one value with every file in it,
-// so that a router reads all of it in one call.
+// Packed is the published form of a version: a single value with all files, so that a router
+// reads it in one call.
 type Packed struct {
 	Revision uint64            `json:"revision"`
 	Files    map[string]string `json:"files"`
 }
 
-// Encode returns the bytes to publish.
+// Encode returns the value to publish.
 func (p Packed) Encode() ([]byte, error) {
 	raw, err := json.Marshal(p)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return raw, nil
 }
 
-// Decode reads a published value. It checks the shape, not the content.
+// Decode decodes a published value. It does not validate the content of the files.
 func Decode(raw []byte) (Packed, error) {
 	var p Packed
 	if len(raw) > MaxPackedBytes {
@@ -73,14 +73,14 @@
 	return p, nil
 }
 
-// NumberOf returns the identity of a packed value.
+// NumberOf returns the Number of a packed value.
 func NumberOf(raw []byte, revision uint64) Number {
 	sum := sha256.Sum256(raw)
 	return Number{Revision: revision, Hash: binary.BigEndian.Uint64(sum[:8])}
 }
 
-// names returns the files below a prefix, sorted, so that checks and errors come
-// in the same order on every router.
+// fileNames returns the names of the files with a prefix, sorted, so that files are checked
+// and faults reported in the same order on every router.
 func (p Packed) fileNames(prefix string) []string {
 	var out []string
 	for name := range p.Files {
--- a/internal/version/template.go
+++ b/internal/version/template.go
@@ -9,16 +9,16 @@
 	"github.com/silverswitch/silverswitch/internal/inifile"
 )
 
-// placeholder is a parameter's use inside a template's value.
+// placeholder matches the use of a parameter in a template's value, like ${name}.
 var placeholder = regexp.MustCompile(`\$\{([a-z][a-z0-9_]*)\}`)
 
-// template is one kind of organisation, before parameters are filled in.
+// template is a template for organisations, before its parameters are substituted.
 type template struct {
 	file     string
 	name     string
 	extends  string
 	declared []string
-	sections map[string]map[string]string // section name, key, raw value
+	sections map[string]map[string]string // raw values by section name and key
 	resolved bool
 }
 
@@ -51,7 +51,7 @@
 	l.templates[t.name] = t
 }
 
-// resolveTemplates merges each template with what it extends and refuses cycles.
+// resolveTemplates merges each template with the one it extends and reports cycles.
 func (l *loader) resolveTemplates() {
 	for _, name := range sortedNames(l.templates) {
 		l.resolve(l.templates[name], nil)
@@ -82,7 +82,7 @@
 	l.checkDeclared(t)
 }
 
-// inherit copies from base what t does not say itself.
+// inherit adds the parameters and the values of base that t does not set itself.
 func (t *template) inherit(base *template) {
 	t.declared = append(t.declared, base.declared...)
 	for name, values := range base.sections {
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkDeclared compares the parameters declared with those used.
+// checkDeclared reports parameters that are used but not declared, and the reverse.
 func (l *loader) checkDeclared(t *template) {
 	declared := map[string]bool{}
 	for _, p := range t.declared {
@@ -122,7 +122,8 @@
 	sort.SliceStable(l.faults, func(i, j int) bool { return l.faults[i].Error() < l.faults[j].Error() })
 }
 
-// applyTemplate fills in one organisation's parameters and reads the result.
+// applyTemplate substitutes an organisation's parameters in its template and reads the
+// result.
 func (l *loader) applyTemplate(o *Organisation, t *template, file string, params *inifile.Section) {
 	values := map[string]string{}
 	if params != nil {
@@ -151,6 +152,7 @@
 	}
 }
 
+// checkParameters reports missing and unknown parameters of an organisation.
 func (l *loader) checkParameters(t *template, file string, values map[string]string) {
 	declared := map[string]bool{}
 	for _, p := range t.declared {
@@ -166,8 +168,8 @@
 	}
 }
 
-// filled returns a template's section with parameters in place. Faults in it
-// name the organisation's file, because that is what the operator filled in.
+// fillSection returns a template's section with the parameters substituted. Its faults name
+// the organisation's file, since that is where the operator set the parameters.
 func (l *loader) fillSection(t *template, file, name string, fill func(string) string) *inifile.Section {
 	s := inifile.New(file+" (template "+t.file+")", name, map[string]string{}, &l.faults)
 	for k, v := range t.sections[name] {
