--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides a monotonic clock that includes the time during which the VM was
 // suspended. Go's monotonic clock stands still during a suspension, so leases, deadlines
 // and ages measured with it expire too late; the wall clock advances, but jumps when it is
-// set.
+// set. This clock advances across a suspension and never jumps back.
 package clock
 
 import (
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -49,9 +49,9 @@
 	clock       *clock.Clock
 	OnOpen      func()                         // called for each new connection; may be nil
 	OnSilence   func(addr string, dropped int) // called when an upstream fell silent on a connection; may be nil
-	// OnResponse is called with the header of every response and the UpstreamStart of the
-	// message; may be nil.
-	OnResponse func(upstreamStart string, head *http.Response)
+	// OnResponse is called with the header of every response, also of late ones to earlier
+	// requests, and the UpstreamStart of the message, unless that is empty; may be nil.
+	OnResponse func(upstreamStart string, res *http.Response)
 }
 
 // silence is an upstream that fell silent, and when.
@@ -65,6 +65,7 @@
 	return &Exchanges{idle: map[string][]*upstreamConn{}, inFlight: newInFlight(), clock: clock.System}
 }
 
+// upstreamConn is a connection to an upstream, in use or idle.
 type upstreamConn struct {
 	net.Conn
 	reused      bool // has served an exchange before
@@ -143,10 +144,10 @@
 // setUserTimeout bounds how long sent bytes may stay unacknowledged.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
-	gone := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
-	return errors.Join(gone, err)
+	return errors.Join(controlErr, err)
 }
 
 // handleSilence handles an upstream that fell silent on a connection. The idle connections
@@ -263,11 +264,11 @@
 		return 0, err, true
 	}
 	var one [1]byte
-	gone := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	if gone != nil {
-		return 0, gone, true
+	if controlErr != nil {
+		return 0, controlErr, true
 	}
 	return n, err, true
 }
