--- a/internal/process/content.go
+++ b/internal/process/content.go
@@ -65,7 +65,7 @@
 		back = s.enterEra(l.AsOf, list, now) || back
 	}
 	if back {
-		s.view.StoreRecovered(now)
+		s.view.StartLapseGrace(now)
 	}
 	for _, c := range l.Changes {
 		s.takeChange(c, now)
--- a/internal/process/steer.go
+++ b/internal/process/steer.go
@@ -209,7 +209,7 @@
 		case dispatch.Apply:
 			s.apply(o)
 		case dispatch.StoreBack:
-			s.view.StoreRecovered(o.At)
+			s.view.StartLapseGrace(o.At)
 			s.log.Info().Str("peer", string(o.From)).Int64("age_ms", s.now().Sub(o.At).Milliseconds()).Msg("source-back-at-peer")
 		case dispatch.Gone:
 			s.ups.CloseIdle(o.Instance.Address)
--- a/internal/routing/storerestore_test.go
+++ b/internal/routing/storerestore_test.go
@@ -45,7 +45,7 @@
 		prepare(v)
 	}
 	l := instancesAt(revisionAt(t, 1, 10), copied...)
-	v.StoreRecovered(now)
+	v.StartLapseGrace(now)
 	v.StoreRestored(l, now)
 	v.Replace(l, revisionAt(t, 1, 40), now)
 	return v
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -72,8 +72,8 @@
 	return &View{instances: map[string]*entry{}, places: map[string]*placeState{}, journal: newJournal(), stale: map[string]Instance{}}
 }
 
-// StoreRecovered starts the grace period for missing entries, after an outage of the store.
-func (v *View) StoreRecovered(now time.Time) { v.lapseGraceUntil = now.Add(LapseGrace) }
+// StartLapseGrace starts the grace period for missing entries, after an outage of the store.
+func (v *View) StartLapseGrace(now time.Time) { v.lapseGraceUntil = now.Add(LapseGrace) }
 
 // SetTable replaces the table by one published at a revision. It returns false when a
 // newer table is known.
