--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -32,7 +32,7 @@
 	case "platform":
 		h = standin.NewPlatform().Handler()
 	case "routed":
-		h = fake.Routed(*engines)
+		h = fake.RoutedPlatform(*engines)
 	default:
 		fmt.Fprintf(os.Stderr, "-kind = %q: allowed: engine, plain, platform, routed\n", *kind)
 		os.Exit(2)
