--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -18,7 +18,7 @@
 
 // row is the worst of one way, fault and unit over the seeds.
 type row struct {
-	Way         string       `json:"way"`
+	Strategy    string       `json:"way"`
 	Fault       lab.Fault    `json:"fault"`
 	Unit        version.Unit `json:"unit"`
 	Gap         float64      `json:"gap_largest_requests"`
@@ -48,26 +48,26 @@
 	var mu sync.Mutex
 	for _, unit := range []version.Unit{version.UnitTokens, version.UnitAnswered} {
 		for _, fault := range lab.Faults {
-			for _, way := range lab.Ways(lab.Routers) {
-				r := &row{Way: way.Name, Fault: fault, Unit: unit, Utilisation: 1}
+			for _, way := range lab.Strategies(lab.Routers) {
+				r := &row{Strategy: way.Name, Fault: fault, Unit: unit, Utilisation: 1}
 				rows = append(rows, r)
 				for seed := 1; seed <= seeds; seed++ {
-					s := lab.Scenario{Way: way, Fault: fault, Unit: unit, Seed: uint64(seed)}
+					s := lab.Scenario{Strategy: way, Fault: fault, Unit: unit, Seed: uint64(seed)}
 					work = append(work, func() {
 						res := s.Run()
 						mu.Lock()
 						defer mu.Unlock()
-						r.worst(res)
+						r.keepWorst(res)
 					})
 				}
 			}
 		}
 	}
-	runAll(work)
-	print(rows, asJSON)
+	runParallel(work)
+	printRows(rows, asJSON)
 }
 
-func (r *row) worst(s lab.Result) {
+func (r *row) keepWorst(s lab.Result) {
 	r.Gap = max(r.Gap, s.Gap)
 	r.Utilisation = min(r.Utilisation, s.Utilisation)
 	r.Control = max(r.Control, s.Control)
@@ -75,7 +75,7 @@
 	r.Strays += s.Strays
 }
 
-func runAll(work []func()) {
+func runParallel(work []func()) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	for _, f := range work {
@@ -90,7 +90,7 @@
 	wg.Wait()
 }
 
-func print(rows []*row, asJSON bool) {
+func printRows(rows []*row, asJSON bool) {
 	if asJSON {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
@@ -100,6 +100,6 @@
 	fmt.Println("| unit | fault | way | gap, largest requests | slots used while work waits | control B/s a router | busiest router | starts out of place |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	for _, r := range rows {
-		fmt.Printf("| %s | %s | %s | %.2f | %.3f | %.0f | %.0f | %d |\n", r.Unit, r.Fault, r.Way, r.Gap, r.Utilisation, r.Control, r.Busiest, r.Strays)
+		fmt.Printf("| %s | %s | %s | %.2f | %.3f | %.0f | %.0f | %d |\n", r.Unit, r.Fault, r.Strategy, r.Gap, r.Utilisation, r.Control, r.Busiest, r.Strays)
 	}
 }
--- a/cmd/bench/tokens.go
+++ b/cmd/bench/tokens.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/lab/tokens"
 )
 
-// tokenRun is how long callers send in one run of the tokens' table.
-const tokenRun = 40 * time.Second
+// tokenRunDuration is how long callers send in one run of the tokens' table.
+const tokenRunDuration = 40 * time.Second
 
 // ablation is the chosen way with one mechanism left out.
 type ablation struct {
@@ -34,7 +34,7 @@
 func tokenTable(seeds int) {
 	fmt.Println("\n| scenario | way | owed, served in time | worst organisation | served beyond what is owed | engines reading | late | refused | shared tokens read again | fetched | control B/s a router | first event predicted ms (50, 90, 99 in 100) | seen |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|")
-	scenarios := tokens.Standard(tokenRun)
+	scenarios := tokens.Standard(tokenRunDuration)
 	var names []string
 	for name := range scenarios {
 		names = append(names, name)
@@ -51,7 +51,7 @@
 			})
 		}
 	}
-	runAll(work)
+	runParallel(work)
 	for _, l := range lines {
 		fmt.Println(l)
 	}
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -20,14 +20,14 @@
 
 // engines, organisations and requests for each node, of the planned size.
 const (
-	enginesPer = 1600.0 / 360
-	orgsPer    = 390.0 / 360
-	ratePer    = 3.9 // requests/s by one node; the backlogged bring it to 4.7
+	enginesPerNode  = 1600.0 / 360
+	orgsPerNode     = 390.0 / 360
+	requestsPerNode = 3.9 // requests/s by one node; the backlogged bring it to 4.7
 )
 
 func planned(nodes int) lab.Size {
-	orgs := max(10, int(orgsPer*float64(nodes)))
-	return lab.Size{Nodes: nodes, Engines: max(44, int(enginesPer*float64(nodes))), Orgs: orgs, Backlogged: orgs / 10, PerNode: ratePer, Seconds: 30}
+	orgs := max(10, int(orgsPerNode*float64(nodes)))
+	return lab.Size{Nodes: nodes, Engines: max(44, int(enginesPerNode*float64(nodes))), Orgs: orgs, Backlogged: orgs / 10, PerNode: requestsPerNode, Seconds: 30}
 }
 
 func slopes(smallest, largest int) []slope {
--- a/cmd/guards/main.go
+++ b/cmd/guards/main.go
@@ -17,13 +17,13 @@
 
 // guard is one entry of the list.
 type guard struct {
-	name string
-	file string
-	from string
-	to   string
-	pkg  string
-	test string
-	env  string // NAME=VALUE, separated by spaces
+	name        string
+	file        string
+	original    string
+	replacement string
+	pkg         string
+	test        string
+	env         string // NAME=VALUE, separated by spaces
 }
 
 func main() {
@@ -40,7 +40,7 @@
 		if !strings.Contains(g.name, *only) {
 			continue
 		}
-		if err := try(g); err != nil {
+		if err := runWithout(g); err != nil {
 			failed++
 			fmt.Printf("NOT CAUGHT %s: %v\n", g.name, err)
 		}
@@ -58,7 +58,7 @@
 	}
 	var out []guard
 	g := guard{}
-	fields := map[string]*string{"name": &g.name, "file": &g.file, "from": &g.from, "to": &g.to, "package": &g.pkg, "test": &g.test, "env": &g.env}
+	fields := map[string]*string{"name": &g.name, "file": &g.file, "from": &g.original, "to": &g.replacement, "package": &g.pkg, "test": &g.test, "env": &g.env}
 	s := bufio.NewScanner(bytes.NewReader(append(raw, '\n', '\n')))
 	for s.Scan() {
 		line := s.Text()
@@ -83,7 +83,7 @@
 }
 
 // try runs one test without its guard and expects it to fail.
-func try(g guard) error {
+func runWithout(g guard) error {
 	dir, err := os.MkdirTemp("", "guard")
 	if err != nil {
 		return err
@@ -97,10 +97,10 @@
 	if err != nil {
 		return err
 	}
-	if bytes.Count(raw, []byte(g.from)) != 1 {
-		return fmt.Errorf("%s: the guard %q is not there once", g.file, g.from)
+	if bytes.Count(raw, []byte(g.original)) != 1 {
+		return fmt.Errorf("%s: the guard %q is not there once", g.file, g.original)
 	}
-	if err := os.WriteFile(path, bytes.Replace(raw, []byte(g.from), []byte(g.to), 1), 0o644); err != nil {
+	if err := os.WriteFile(path, bytes.Replace(raw, []byte(g.original), []byte(g.replacement), 1), 0o644); err != nil {
 		return err
 	}
 	cmd := exec.Command("go", "test", "-count=1", "-timeout=300s", "-run", "^"+g.test+"$", "./"+g.pkg)
@@ -113,12 +113,12 @@
 	if !bytes.Contains(out, []byte("--- FAIL")) && !bytes.Contains(out, []byte("panic: ")) {
 		return fmt.Errorf("did not run: %s", out)
 	}
-	fmt.Printf("caught     %s: %s fails: %s\n", g.name, g.test, reason(out))
+	fmt.Printf("caught     %s: %s fails: %s\n", g.name, g.test, failureLine(out))
 	return nil
 }
 
 // reason finds the line that says what failed.
-func reason(out []byte) string {
+func failureLine(out []byte) string {
 	for _, line := range strings.Split(string(out), "\n") {
 		text := strings.TrimSpace(line)
 		for _, mark := range []string{"Error:", "Messages:", "panic:", "[rapid] failed"} {
--- a/cmd/silverswitchd/log_test.go
+++ b/cmd/silverswitchd/log_test.go
@@ -9,7 +9,7 @@
 )
 
 // A standard output that nobody reads stalls nothing: lines are dropped.
-func TestBlockedStandardOutputStallsNothing(t *testing.T) {
+func TestBlockedStandardOutputDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	stdout := os.Stdout
--- a/cmd/silverswitchd/main.go
+++ b/cmd/silverswitchd/main.go
@@ -20,10 +20,10 @@
 
 // Exit codes.
 const (
-	exitOK       = 0
-	exitFailed   = 1
-	exitSettings = 2
-	exitCut      = 3
+	exitOK          = 0
+	exitFailed      = 1
+	exitSettings    = 2
+	exitRequestsCut = 3
 )
 
 func main() {
@@ -60,7 +60,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	out, closeOut := logWriter()
 	defer closeOut()
 	log := zerolog.New(out).Level(level).With().Timestamp().Str("router", set.Peer).Logger()
@@ -92,17 +92,17 @@
 	return process.Start(set, log)
 }
 
-// logTime is the format of a line's time: to the millisecond, so that lines of
+// logTimeFormat is the format of a line's time: to the millisecond, so that lines of
 // several routers can be put in order.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// logLines is how many lines wait for a slow standard output; more are dropped
+// logBufferLines is how many lines wait for a slow standard output; more are dropped
 // and counted, so that logging never blocks a request.
-const logLines = 4096
+const logBufferLines = 4096
 
 // logWriter writes lines to standard output without ever blocking.
 func logWriter() (io.Writer, func()) {
-	w := diode.NewWriter(os.Stdout, logLines, 0, func(missed int) {
+	w := diode.NewWriter(os.Stdout, logBufferLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "{\"message\":\"log-lines-dropped\",\"lines\":%d}\n", missed)
 	})
 	return w, func() { _ = w.Close() } // standard output has nothing to tell
@@ -115,11 +115,11 @@
 	select {
 	case cut := <-ended:
 		if cut > 0 {
-			return exitCut
+			return exitRequestsCut
 		}
 		return exitOK
 	case <-signals:
 		log.Warn().Int("requests", d.Open(time.Second)).Msg("ended-at-once")
-		return exitCut
+		return exitRequestsCut
 	}
 }
--- a/cmd/silverswitchd/process_test.go
+++ b/cmd/silverswitchd/process_test.go
@@ -60,8 +60,8 @@
 	counter  string
 	routers  []*router
 
-	mu  sync.Mutex
-	why []string
+	mu      sync.Mutex
+	details []string
 }
 
 func (f *fleet) run(path string, args ...string) *exec.Cmd {
@@ -113,7 +113,7 @@
 		f.boot(r, peers)
 	}
 	for _, r := range f.routers {
-		f.ready(r, routers)
+		f.waitReady(r, routers)
 	}
 	return f
 }
@@ -152,7 +152,7 @@
 }
 
 // ready waits until the router is ready and sees the fleet alive.
-func (f *fleet) ready(r *router, routers int) {
+func (f *fleet) waitReady(r *router, routers int) {
 	var last string
 	ok := func() bool {
 		res, err := http.Get("http://" + r.operator + "/status")
@@ -193,16 +193,16 @@
 // stream reads one stream and returns its events, and whether it ended whole.
 // What it was instead is kept for the failure's message.
 func (f *fleet) stream(r *router, tokens int) (int, bool) {
-	n, whole, why := f.read(r, tokens)
+	n, whole, details := f.readStream(r, tokens)
 	if !whole {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.why = append(f.why, fmt.Sprintf("%s after %d events: %s", r.callers, n, why))
+		f.details = append(f.details, fmt.Sprintf("%s after %d events: %s", r.callers, n, details))
 	}
 	return n, whole
 }
 
-func (f *fleet) read(r *router, tokens int) (int, bool, string) {
+func (f *fleet) readStream(r *router, tokens int) (int, bool, string) {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, tokens)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+r.callers+"/v1/chat/completions", strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer key")
@@ -224,7 +224,7 @@
 }
 
 // runs counts how often each key ran at the plain service.
-func (f *fleet) runs() map[string]int {
+func (f *fleet) runsByKey() map[string]int {
 	res, err := http.Get("http://" + f.counter + "/journal")
 	require.NoError(f.t, err)
 	defer res.Body.Close()
@@ -265,20 +265,20 @@
 			}
 		}()
 	}
-	f.torment()
+	f.injectFaults()
 	over.Store(true)
 	wg.Wait()
-	runs := f.runs()
+	runsByKey := f.runsByKey()
 	answered := 0
 	for key, told := range words {
-		assert.LessOrEqual(t, runs[key], 1, "%s ran %d times: %v", key, runs[key], told)
+		assert.LessOrEqual(t, runsByKey[key], 1, "%s ran %d times: %v", key, runsByKey[key], told)
 		last := told[len(told)-1]
 		if last == "answered" {
 			answered++
-			assert.Equal(t, 1, runs[key], "%s answered: %v", key, told)
+			assert.Equal(t, 1, runsByKey[key], "%s answered: %v", key, told)
 		}
 		if last == "not-run" {
-			assert.Zero(t, runs[key], "%s told not-run: %v", key, told)
+			assert.Zero(t, runsByKey[key], "%s told not-run: %v", key, told)
 		}
 	}
 	assert.Greater(t, answered, 50)
@@ -286,7 +286,7 @@
 }
 
 // torment kills, freezes and restarts routers one after another.
-func (f *fleet) torment() {
+func (f *fleet) injectFaults() {
 	for round := range 3 {
 		victim, sleeper := f.routers[round], f.routers[4-round/2]
 		time.Sleep(time.Second)
@@ -330,12 +330,12 @@
 		down[i].Store(true)
 		require.NoError(t, r.cmd.Wait(), "a planned stop exits with 0")
 		f.boot(r, nil)
-		f.ready(r, 4)
+		f.waitReady(r, 4)
 		down[i].Store(false)
 	}
 	over.Store(true)
 	wg.Wait()
-	assert.Zero(t, bad.Load(), "%v", f.why)
+	assert.Zero(t, bad.Load(), "%v", f.details)
 	assert.Greater(t, ok.Load(), int64(100))
 	t.Logf("%d streams whole", ok.Load())
 }
@@ -373,11 +373,11 @@
 	time.Sleep(500 * time.Millisecond)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	assert.Error(t, p.Wait())
-	assert.Equal(t, exitCut, p.ProcessState.ExitCode())
+	assert.Equal(t, exitRequestsCut, p.ProcessState.ExitCode())
 }
 
 // 2,000 concurrent streams through one router stay within 256 MB.
-func TestTwoThousandStreamsFitTheirMemory(t *testing.T) {
+func TestMemoryOfTwoThousandStreamsIsBounded(t *testing.T) {
 	f := newFleet(t, 2, 1500, 100*time.Millisecond)
 	var wg sync.WaitGroup
 	var whole atomic.Int64
@@ -422,14 +422,14 @@
 }
 
 // The hang-up signal ended the process with code 129.
-func TestHangUpSignalReloadsAndEndsNothing(t *testing.T) {
+func TestHangUpSignalReloadsWithoutStopping(t *testing.T) {
 	f := newFleet(t, 1, 2, time.Millisecond)
 	r := f.routers[0]
-	f.ready(r, 1)
+	f.waitReady(r, 1)
 	for range 5 {
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.ready(r, 1)
+	f.waitReady(r, 1)
 	require.NoError(t, r.cmd.Process.Signal(syscall.Signal(0)), "the process runs")
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -26,7 +26,7 @@
 	var h http.Handler
 	switch *kind {
 	case "engine":
-		h = (&standin.Engine{First: *first, Gap: *gap, Tokens: *tokens, CutAt: *cut}).Handler()
+		h = (&standin.Engine{FirstTokenDelay: *first, TokenInterval: *gap, DefaultTokens: *tokens, CutAt: *cut}).Handler()
 	case "plain":
 		h = (&standin.Plain{Delay: *delay, BreakOn: *breakOn}).Handler()
 	case "platform":
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,24 +10,24 @@
 )
 
 // Figures describe an engine. Source of the defaults: an operator's sheet.
-type Figures struct {
-	Slots        int     // requests that run at once
-	MemoryTokens int     // for running requests and kept parts together
-	StepMS       float64 // of one step: each running request makes one token
-	StepPerRunMS float64 // more for each running request
-	ContextPerK  float64 // ms more for each 1,000 tokens of running requests
-	ReadPerMS    float64 // prompt tokens read in a millisecond
-	Chunk        int     // prompt tokens read in one step at most
-	EventTokens  int     // tokens in one event of a stream
-	MovePerMS    float64 // tokens fetched from another engine in a millisecond
-	MoveSetupMS  float64
-	FirstMS      float64 // before a request is read, whatever its size
-	PairsMS      float64 // for a million pairs of a read token and one before it
+type Config struct {
+	Slots                int     // requests that run at once
+	MemoryTokens         int     // for running requests and kept parts together
+	StepMS               float64 // of one step: each running request makes one token
+	StepPerRequestMS     float64 // more for each running request
+	StepPer1KContextMS   float64 // ms more for each 1,000 tokens of running requests
+	PrefillTokensPerMS   float64 // prompt tokens read in a millisecond
+	PrefillChunkTokens   int     // prompt tokens read in one step at most
+	EventTokens          int     // tokens in one event of a stream
+	FetchTokensPerMS     float64 // tokens fetched from another engine in a millisecond
+	FetchSetupMS         float64
+	RequestSetupMS       float64 // before a request is read, whatever its size
+	AttentionMSPerMPairs float64 // for a million pairs of a read token and one before it
 }
 
-// DefaultFigures are those of engines that read 39 tokens a millisecond.
-var DefaultFigures = Figures{Slots: 64, MemoryTokens: 232_000, StepMS: 5.47, StepPerRunMS: 0.0121, ContextPerK: 0.023,
-	ReadPerMS: 38.7, Chunk: 1024, EventTokens: 3, MovePerMS: 420, MoveSetupMS: 1.7}
+// DefaultConfig are those of engines that read 39 tokens a millisecond.
+var DefaultConfig = Config{Slots: 64, MemoryTokens: 232_000, StepMS: 5.47, StepPerRequestMS: 0.0121, StepPer1KContextMS: 0.023,
+	PrefillTokensPerMS: 38.7, PrefillChunkTokens: 1024, EventTokens: 3, FetchTokensPerMS: 420, FetchSetupMS: 1.7}
 
 // Part is one part of a prompt.
 type Part struct {
@@ -39,12 +39,12 @@
 type Request struct {
 	ID     uint64
 	Parts  []Part
-	Output int    // tokens it will make
-	Source Keeper // an engine to fetch kept parts from, or nil
+	Output int         // tokens it will make
+	Source PrefixCache // an engine to fetch kept parts from, or nil
 }
 
 // Keeper tells how many tokens of a prompt an engine keeps, from its first part on.
-type Keeper interface{ Prefix(parts []Part) int }
+type PrefixCache interface{ Prefix(parts []Part) int }
 
 // Event is one thing that a request did.
 type Event struct {
@@ -65,31 +65,31 @@
 
 // Engine is one engine. One goroutine owns it.
 type Engine struct {
-	fig     Figures
-	now     time.Time // the end of the last step
-	waiting []*run
-	running []*run
-	kept    map[uint64]*list.Element
-	order   *list.List // of Part, most recently used first
-	used    int        // tokens kept
-	Read    int        // prompt tokens read
-	Fetched int        // tokens fetched from other engines
-	Full    int        // requests turned away
+	cfg          Config
+	now          time.Time // the end of the last step
+	waiting      []*activeRequest
+	running      []*activeRequest
+	cached       map[uint64]*list.Element
+	recent       *list.List // of Part, most recently used first
+	cachedTokens int        // tokens kept
+	Read         int        // prompt tokens read
+	Fetched      int        // tokens fetched from other engines
+	Rejected     int        // requests turned away
 }
 
 // run is one request inside the engine.
-type run struct {
-	req     Request
-	begun   bool // its prompt is being read: what is kept of it by then counts
-	unread  int
-	ready   time.Time // its fetch has ended
-	made    int
-	context int
+type activeRequest struct {
+	req            Request
+	prefillStarted bool // its prompt is being read: what is kept of it by then counts
+	unreadTokens   int
+	readyAt        time.Time // its fetch has ended
+	decoded        int
+	contextTokens  int
 }
 
 // New returns an empty engine.
-func New(fig Figures, now time.Time) *Engine {
-	return &Engine{fig: fig, now: now, kept: map[uint64]*list.Element{}, order: list.New()}
+func New(cfg Config, now time.Time) *Engine {
+	return &Engine{cfg: cfg, now: now, cached: map[uint64]*list.Element{}, recent: list.New()}
 }
 
 // Add gives the engine a request. It returns false when the engine can never hold it.
@@ -98,22 +98,22 @@
 	for _, p := range r.Parts {
 		total += p.Tokens
 	}
-	if total > e.fig.MemoryTokens || len(e.waiting) >= 3*e.fig.Slots {
-		e.Full++
+	if total > e.cfg.MemoryTokens || len(e.waiting) >= 3*e.cfg.Slots {
+		e.Rejected++
 		return false
 	}
 	if len(e.running) == 0 && len(e.waiting) == 0 && now.After(e.now) {
 		e.now = now
 	}
-	x := &run{req: r, ready: now.Add(ms(e.fig.FirstMS))}
+	x := &activeRequest{req: r, readyAt: now.Add(ms(e.cfg.RequestSetupMS))}
 	e.fetch(x, now)
 	e.waiting = append(e.waiting, x)
 	return true
 }
 
 // fetch copies what the source keeps of the prompt beyond the own parts.
-func (e *Engine) fetch(x *run, now time.Time) {
-	if x.req.Source == nil || x.req.Source == Keeper(e) {
+func (e *Engine) fetch(x *activeRequest, now time.Time) {
+	if x.req.Source == nil || x.req.Source == PrefixCache(e) {
 		return
 	}
 	own, there := e.Prefix(x.req.Parts), x.req.Source.Prefix(x.req.Parts)
@@ -125,17 +125,17 @@
 		if n += p.Tokens; n > there {
 			break
 		}
-		e.keep(p)
+		e.addToCache(p)
 	}
 	e.Fetched += there - own
-	x.ready = x.ready.Add(ms(e.fig.MoveSetupMS + float64(there-own)/e.fig.MovePerMS))
+	x.readyAt = x.readyAt.Add(ms(e.cfg.FetchSetupMS + float64(there-own)/e.cfg.FetchTokensPerMS))
 }
 
 // Prefix returns how many tokens of a prompt are kept, from its first part on.
 func (e *Engine) Prefix(parts []Part) int {
 	n := 0
 	for _, p := range parts {
-		if e.kept[p.ID] == nil {
+		if e.cached[p.ID] == nil {
 			break
 		}
 		n += p.Tokens
@@ -144,29 +144,29 @@
 }
 
 // keep keeps a part as the one used last; the least recently used yield.
-func (e *Engine) keep(p Part) {
-	if el := e.kept[p.ID]; el != nil {
-		e.order.MoveToFront(el)
+func (e *Engine) addToCache(p Part) {
+	if el := e.cached[p.ID]; el != nil {
+		e.recent.MoveToFront(el)
 		return
 	}
-	e.kept[p.ID] = e.order.PushFront(p)
-	e.used += p.Tokens
-	e.yield()
+	e.cached[p.ID] = e.recent.PushFront(p)
+	e.cachedTokens += p.Tokens
+	e.evict()
 }
 
-func (e *Engine) yield() {
-	for e.used > 0 && e.used+e.made() > e.fig.MemoryTokens {
-		old := e.order.Remove(e.order.Back()).(Part)
-		delete(e.kept, old.ID)
-		e.used -= old.Tokens
+func (e *Engine) evict() {
+	for e.cachedTokens > 0 && e.cachedTokens+e.decoded() > e.cfg.MemoryTokens {
+		old := e.recent.Remove(e.recent.Back()).(Part)
+		delete(e.cached, old.ID)
+		e.cachedTokens -= old.Tokens
 	}
 }
 
 // made is the memory of what running requests have generated.
-func (e *Engine) made() int {
+func (e *Engine) decoded() int {
 	n := 0
 	for _, x := range e.running {
-		n += x.made
+		n += x.decoded
 	}
 	return n
 }
@@ -181,7 +181,7 @@
 				e.now = to
 				break
 			}
-			e.now = earlier(e.waiting[0].ready, to) // it waits for its fetch
+			e.now = earlier(e.waiting[0].readyAt, to) // it waits for its fetch
 			continue
 		}
 		out = append(out, e.step()...)
@@ -198,15 +198,15 @@
 
 // admit starts what waits, in order of arrival.
 func (e *Engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.fig.Slots && !e.waiting[0].ready.After(e.now) {
+	for len(e.waiting) > 0 && len(e.running) < e.cfg.Slots && !e.waiting[0].readyAt.After(e.now) {
 		x := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		total := 0
 		for _, p := range x.req.Parts {
 			total += p.Tokens
 		}
-		x.context = total
-		x.unread = total
+		x.contextTokens = total
+		x.unreadTokens = total
 		e.running = append(e.running, x)
 	}
 }
@@ -214,60 +214,60 @@
 // step is one batch: a chunk of the prompts in order, and a token for each request
 // that has been read.
 func (e *Engine) step() []Event {
-	chunk, context, pairs := e.fig.Chunk, 0, 0.0
-	var made []*run
+	chunk, contextTokens, pairs := e.cfg.PrefillChunkTokens, 0, 0.0
+	var decoded []*activeRequest
 	for _, x := range e.running {
-		context += x.context + x.made
-		if x.unread == 0 {
-			made = append(made, x)
+		contextTokens += x.contextTokens + x.decoded
+		if x.unreadTokens == 0 {
+			decoded = append(decoded, x)
 			continue
 		}
-		if chunk > 0 && !x.begun {
-			x.begun = true
-			x.unread = max(1, x.context-e.Prefix(x.req.Parts))
+		if chunk > 0 && !x.prefillStarted {
+			x.prefillStarted = true
+			x.unreadTokens = max(1, x.contextTokens-e.Prefix(x.req.Parts))
 		}
-		n := min(chunk, x.unread)
+		n := min(chunk, x.unreadTokens)
 		chunk -= n
-		pairs += float64(n) * (float64(x.context-x.unread) + float64(n)/2) / 1e6
-		x.unread -= n
+		pairs += float64(n) * (float64(x.contextTokens-x.unreadTokens) + float64(n)/2) / 1e6
+		x.unreadTokens -= n
 		e.Read += n
-		if x.unread == 0 && n > 0 {
-			e.readWhole(x)
-			made = append(made, x)
+		if x.unreadTokens == 0 && n > 0 {
+			e.cachePrompt(x)
+			decoded = append(decoded, x)
 		}
 	}
-	length := e.fig.StepMS + e.fig.StepPerRunMS*float64(len(e.running)) + e.fig.ContextPerK*float64(context)/1000 + float64(e.fig.Chunk-chunk)/e.fig.ReadPerMS + pairs*e.fig.PairsMS
+	length := e.cfg.StepMS + e.cfg.StepPerRequestMS*float64(len(e.running)) + e.cfg.StepPer1KContextMS*float64(contextTokens)/1000 + float64(e.cfg.PrefillChunkTokens-chunk)/e.cfg.PrefillTokensPerMS + pairs*e.cfg.AttentionMSPerMPairs
 	e.now = e.now.Add(ms(length))
-	return e.tokens(made)
+	return e.decode(decoded)
 }
 
-func (e *Engine) readWhole(x *run) {
+func (e *Engine) cachePrompt(x *activeRequest) {
 	for _, p := range x.req.Parts {
-		e.keep(p)
+		e.addToCache(p)
 	}
 }
 
 // tokens gives each request one more token.
-func (e *Engine) tokens(made []*run) []Event {
+func (e *Engine) decode(decoded []*activeRequest) []Event {
 	var out []Event
-	for _, x := range made {
-		x.made++
+	for _, x := range decoded {
+		x.decoded++
 		switch {
-		case x.made == 1: // an event comes with its first token
+		case x.decoded == 1: // an event comes with its first token
 			out = append(out, Event{x.req.ID, e.now, First})
-		case (x.made-1)%e.fig.EventTokens == 0 && x.made < x.req.Output:
+		case (x.decoded-1)%e.cfg.EventTokens == 0 && x.decoded < x.req.Output:
 			out = append(out, Event{x.req.ID, e.now, More})
 		}
-		if x.made >= x.req.Output {
+		if x.decoded >= x.req.Output {
 			out = append(out, Event{x.req.ID, e.now, Done})
-			e.drop(x)
+			e.removeRunning(x)
 		}
 	}
-	e.yield()
+	e.evict()
 	return out
 }
 
-func (e *Engine) drop(x *run) {
+func (e *Engine) removeRunning(x *activeRequest) {
 	for i, y := range e.running {
 		if y == x {
 			e.running = append(e.running[:i], e.running[i+1:]...)
@@ -278,7 +278,7 @@
 
 // Cancel ends a request, wherever it is.
 func (e *Engine) Cancel(id uint64) {
-	for _, list := range []*[]*run{&e.waiting, &e.running} {
+	for _, list := range []*[]*activeRequest{&e.waiting, &e.running} {
 		for i, x := range *list {
 			if x.req.ID == id {
 				*list = append((*list)[:i:i], (*list)[i+1:]...)
@@ -289,12 +289,12 @@
 }
 
 // Reading reports whether any prompt is not read yet.
-func (e *Engine) Reading() bool {
+func (e *Engine) HasUnreadPrompt() bool {
 	if len(e.waiting) > 0 {
 		return true
 	}
 	for _, x := range e.running {
-		if x.unread > 0 {
+		if x.unreadTokens > 0 {
 			return true
 		}
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -11,7 +11,7 @@
 var start = time.Unix(1_800_000_000, 0)
 
 // until runs an engine until something happens, and returns it.
-func until(t testing.TB, e *Engine, id uint64, kind EventKind) time.Duration {
+func waitFor(t testing.TB, e *Engine, id uint64, kind EventKind) time.Duration {
 	for at := start; at.Before(start.Add(time.Minute)); at = at.Add(time.Millisecond) {
 		for _, ev := range e.Advance(at) {
 			if ev.ID == id && ev.Kind == kind {
@@ -23,42 +23,42 @@
 	return 0
 }
 
-func TestReadingTakesTimeAndKeptPartsDoNot(t *testing.T) {
-	e := New(DefaultFigures, start)
+func TestCachedPartsAreNotReadAgain(t *testing.T) {
+	e := New(DefaultConfig, start)
 	parts := []Part{{1, 4000}, {2, 4000}}
 	assert.True(t, e.Add(Request{ID: 1, Parts: parts, Output: 30}, start))
-	cold := until(t, e, 1, First)
+	cold := waitFor(t, e, 1, First)
 	// 8 chunks of 1,024 tokens at 38.7 a millisecond and a step each.
 	assert.InDelta(t, 270, cold.Milliseconds(), 25)
-	again := New(DefaultFigures, start)
-	again.keep(parts[0])
-	again.keep(parts[1])
+	again := New(DefaultConfig, start)
+	again.addToCache(parts[0])
+	again.addToCache(parts[1])
 	again.Add(Request{ID: 1, Parts: parts, Output: 30}, start)
-	assert.Less(t, until(t, again, 1, First), 30*time.Millisecond)
+	assert.Less(t, waitFor(t, again, 1, First), 30*time.Millisecond)
 	assert.Equal(t, 8000, e.Read)
 	assert.Equal(t, 1, again.Read)
 }
 
 func TestFetchingIsCheaperThanReading(t *testing.T) {
-	from, to := New(DefaultFigures, start), New(DefaultFigures, start)
+	from, to := New(DefaultConfig, start), New(DefaultConfig, start)
 	parts := []Part{{1, 3780}, {2, 500}}
-	from.keep(parts[0])
+	from.addToCache(parts[0])
 	to.Add(Request{ID: 1, Parts: parts, Output: 30, Source: from}, start)
-	assert.Less(t, until(t, to, 1, First), 60*time.Millisecond)
+	assert.Less(t, waitFor(t, to, 1, First), 60*time.Millisecond)
 	assert.Equal(t, 3780, to.Fetched)
 	assert.Equal(t, 500, to.Read)
 }
 
-func TestPromptsAreReadInOrderOfArrival(t *testing.T) {
-	e := New(DefaultFigures, start)
+func TestPromptsAreReadInArrivalOrder(t *testing.T) {
+	e := New(DefaultConfig, start)
 	e.Add(Request{ID: 1, Parts: []Part{{1, 20_000}}, Output: 3}, start)
 	e.Add(Request{ID: 2, Parts: []Part{{2, 100}}, Output: 3}, start)
-	assert.Greater(t, until(t, e, 2, First), 500*time.Millisecond, "behind the large one")
+	assert.Greater(t, waitFor(t, e, 2, First), 500*time.Millisecond, "behind the large one")
 }
 
-func TestBoundsAreKept(t *testing.T) {
+func TestSlotAndMemoryLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fig := DefaultFigures
+		fig := DefaultConfig
 		fig.Slots, fig.MemoryTokens = rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(2000, 20_000).Draw(t, "memory")
 		e := New(fig, start)
 		now, open := start, map[uint64]bool{}
@@ -80,8 +80,8 @@
 			if running > fig.Slots {
 				t.Fatalf("%d run in %d slots", running, fig.Slots)
 			}
-			if e.used > 0 && e.used+e.made() > fig.MemoryTokens {
-				t.Fatalf("%d kept and %d made in %d tokens", e.used, e.made(), fig.MemoryTokens)
+			if e.cachedTokens > 0 && e.cachedTokens+e.decoded() > fig.MemoryTokens {
+				t.Fatalf("%d kept and %d made in %d tokens", e.cachedTokens, e.decoded(), fig.MemoryTokens)
 			}
 		}
 		for _, ev := range e.Advance(now.Add(10 * time.Minute)) {
@@ -95,19 +95,19 @@
 	})
 }
 
-func TestCancelledRequestsLeaveRoom(t *testing.T) {
-	e := New(DefaultFigures, start)
+func TestCancelledRequestFreesItsSlot(t *testing.T) {
+	e := New(DefaultConfig, start)
 	e.Add(Request{ID: 1, Parts: []Part{{1, 20_000}}, Output: 3}, start)
 	e.Add(Request{ID: 2, Parts: []Part{{2, 100}}, Output: 30}, start)
 	e.Cancel(1)
-	assert.Less(t, until(t, e, 2, First), 60*time.Millisecond)
+	assert.Less(t, waitFor(t, e, 2, First), 60*time.Millisecond)
 	e.Cancel(99)
 	w, r := e.Load()
 	assert.Zero(t, w+r-1, "the second still makes its last token")
 }
 
-func TestEventsComeInTheirOrder(t *testing.T) {
-	e := New(DefaultFigures, start)
+func TestEventOrder(t *testing.T) {
+	e := New(DefaultConfig, start)
 	e.Add(Request{ID: 1, Parts: []Part{{1, 100}}, Output: 10}, start)
 	var kinds []EventKind
 	for _, ev := range e.Advance(start.Add(time.Second)) {
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -11,32 +11,32 @@
 // Baseline is a router that decides alone: the simple ways the chosen one is
 // measured against. It sends no control messages.
 type Baseline struct {
-	ver     *version.Version
-	routers int // 0: no limit, least loaded; else each router has this part of every slot
-	running map[version.ID]int
-	queues  map[version.ID][]entry.Request // waiting, by organisation
-	at      map[uint64]entry.Request
-	up      map[uint64]version.ID
-	served  map[version.ID]float64
-	out     []core.Output
+	ver      *version.Version
+	routers  int // 0: no limit, least loaded; else each router has this part of every slot
+	running  map[version.ID]int
+	queues   map[version.ID][]entry.Request // waiting, by organisation
+	request  map[uint64]entry.Request
+	upstream map[uint64]version.ID
+	served   map[version.ID]float64
+	out      []core.Output
 }
 
-// NewAlone returns a router that sends each request at once to the upstream it
+// NewLeastLoaded returns a router that sends each request at once to the upstream it
 // has least at.
-func NewAlone(core.Settings, time.Time) Router { return newBaseline(0) }
+func NewLeastLoaded(core.Settings, time.Time) Router { return newBaseline(0) }
 
-// NewParts returns a router that owns a fixed part of every upstream's slots and
+// NewPartitioned returns a router that owns a fixed part of every upstream's slots and
 // queues fairly by itself.
-func NewParts(routers int) func(core.Settings, time.Time) Router {
+func NewPartitioned(routers int) func(core.Settings, time.Time) Router {
 	return func(core.Settings, time.Time) Router { return newBaseline(routers) }
 }
 
 func newBaseline(routers int) *Baseline {
 	return &Baseline{
 		routers: routers,
-		running: map[version.ID]int{}, at: map[uint64]entry.Request{},
-		queues: map[version.ID][]entry.Request{},
-		up:     map[uint64]version.ID{}, served: map[version.ID]float64{},
+		running: map[version.ID]int{}, request: map[uint64]entry.Request{},
+		queues:   map[version.ID][]entry.Request{},
+		upstream: map[uint64]version.ID{}, served: map[version.ID]float64{},
 	}
 }
 
@@ -48,12 +48,12 @@
 	case core.Arrive:
 		b.queues[in.Request.Org] = append(b.queues[in.Request.Org], in.Request)
 	case core.Finish:
-		b.served[b.at[in.ID].Org] += in.Units
-		b.running[b.up[in.ID]]--
-		delete(b.at, in.ID)
-		delete(b.up, in.ID)
+		b.served[b.request[in.ID].Org] += in.Units
+		b.running[b.upstream[in.ID]]--
+		delete(b.request, in.ID)
+		delete(b.upstream, in.ID)
 	}
-	b.fill()
+	b.startQueued()
 }
 
 // Tick does nothing: a baseline acts on inputs only.
@@ -67,33 +67,33 @@
 }
 
 // fill starts what it can, the organisation served least first.
-func (b *Baseline) fill() {
+func (b *Baseline) startQueued() {
 	for {
-		org, up := b.next()
-		if up == 0 {
+		org, upstream := b.next()
+		if upstream == 0 {
 			return
 		}
 		r := b.queues[org][0]
 		b.queues[org] = b.queues[org][1:]
-		b.running[up]++
-		b.at[r.ID], b.up[r.ID] = r, up
-		b.out = append(b.out, core.Start{ID: r.ID, Upstream: up})
+		b.running[upstream]++
+		b.request[r.ID], b.upstream[r.ID] = r, upstream
+		b.out = append(b.out, core.Start{ID: r.ID, Upstream: upstream})
 	}
 }
 
 func (b *Baseline) next() (org, up version.ID) {
 	for id, q := range b.queues {
-		if len(q) == 0 || (up != 0 && !b.before(id, org)) {
+		if len(q) == 0 || (up != 0 && !b.servedLess(id, org)) {
 			continue
 		}
-		if u := b.least(q[0]); u != 0 {
+		if u := b.leastLoaded(q[0]); u != 0 {
 			org, up = id, u
 		}
 	}
 	return org, up
 }
 
-func (b *Baseline) before(x, y version.ID) bool {
+func (b *Baseline) servedLess(x, y version.ID) bool {
 	if b.served[x] != b.served[y] {
 		return b.served[x] < b.served[y]
 	}
@@ -102,7 +102,7 @@
 
 // least returns the allowed upstream with the least of this router's requests,
 // or 0 when its part of each is full.
-func (b *Baseline) least(r entry.Request) version.ID {
+func (b *Baseline) leastLoaded(r entry.Request) version.ID {
 	var best version.ID
 	for id, u := range b.ver.Upstreams {
 		if !b.ver.Organisations[r.Org].Allows(u.Place) {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -35,14 +35,14 @@
 
 // The shape of the planned fleet.
 const (
-	plannedPlaces  = 11
-	plannedRegions = 4
-	plannedModels  = 14
-	plannedSlots   = 40
-	modelsEach     = 3 // models an organisation calls
-	overAsk        = 3 // requests a backlogged organisation keeps open, over its part
-	settleTime     = 90 * time.Second
-	requestTime    = 35.2 // seconds, at the mean size
+	plannedPlaces      = 11
+	plannedRegions     = 4
+	plannedModels      = 14
+	plannedSlots       = 40
+	modelsPerOrg       = 3 // models an organisation calls
+	backlogFactor      = 3 // requests a backlogged organisation keeps open, over its part
+	settleDuration     = 90 * time.Second
+	meanRequestSeconds = 35.2 // seconds, at the mean size
 )
 
 // Measure plays a fleet of the size and returns what a node spends.
@@ -56,16 +56,16 @@
 		f.Orgs = append(f.Orgs, Org{Name: fmt.Sprintf("o%03d", i), Places: []string{f.Places[i%7], f.Places[i%7+plannedRegions]}})
 	}
 	w := New(f.Load(1), 1, nil)
-	w.progressPeriod = time.Second
+	w.progressInterval = time.Second
 	w.BootAll(s.Nodes, f.Places, core.Settings{Sched: core.DefaultSched()})
 	w.Run(10 * time.Second)
-	s.load(w)
-	w.Run(settleTime)
+	s.openRequests(w)
+	w.Run(settleDuration)
 	return s.measure(w)
 }
 
 // load opens the callers of every organisation.
-func (s Size) load(w *World) {
+func (s Size) openRequests(w *World) {
 	rate := s.PerNode * float64(s.Nodes) / float64(max(1, s.Orgs-s.Backlogged))
 	part := s.Engines * plannedSlots / max(1, s.Orgs)
 	for i := range s.Orgs {
@@ -74,12 +74,12 @@
 		if len(hosts) == 0 {
 			continue
 		}
-		for m := range modelsEach {
-			app := Chat((i + m) % plannedModels)
+		for m := range modelsPerOrg {
+			app := ChatApplication((i + m) % plannedModels)
 			if i < s.Backlogged {
-				w.KeepOpen(o, app, overAsk*part/modelsEach+1, hosts)
+				w.KeepOpen(o, app, backlogFactor*part/modelsPerOrg+1, hosts)
 			} else if rate > 0 {
-				w.arrivals(o, app, rate/modelsEach, hosts)
+				w.arrivals(o, app, rate/modelsPerOrg, hosts)
 			}
 		}
 	}
@@ -99,15 +99,15 @@
 func (w *World) arrivals(o *version.Organisation, app string, rate float64, hosts []int) {
 	gap := time.Duration(w.rnd.ExpFloat64() / rate * float64(time.Second))
 	w.After(gap, func() {
-		w.Submit(w.Hosts[w.Order[hosts[w.rnd.IntN(len(hosts))]]], o, app, w.Size(), patience, nil, nil)
+		w.Submit(w.Hosts[w.Order[hosts[w.rnd.IntN(len(hosts))]]], o, app, w.AnswerTokens(), callerTimeout, nil, nil)
 		w.arrivals(o, app, rate, hosts)
 	})
 }
 
 func (s Size) measure(w *World) Cost {
 	sent, started := w.Sent, w.Started
-	for id := range w.Bytes {
-		w.Bytes[id] = 0
+	for id := range w.SentBytes {
+		w.SentBytes[id] = 0
 	}
 	cpu := cpuTime()
 	w.Run(time.Duration(s.Seconds) * time.Second)
@@ -115,7 +115,7 @@
 	per := float64(s.Nodes) * float64(s.Seconds)
 	c := Cost{Size: s, CPU: cpu.Seconds() / per, Datagrams: float64(w.Sent-sent) / per, Requests: float64(w.Started-started) / float64(s.Seconds)}
 	for _, id := range w.Order {
-		rate := float64(w.Bytes[id]) / float64(s.Seconds)
+		rate := float64(w.SentBytes[id]) / float64(s.Seconds)
 		c.Sent += rate / float64(s.Nodes)
 		c.Busiest = max(c.Busiest, rate)
 		v := w.Hosts[id].Router.(*core.Node).View(w.Now)
--- a/internal/lab/fair_test.go
+++ b/internal/lab/fair_test.go
@@ -18,16 +18,16 @@
 	boundCut   = 45.0 // 60 s with the slots shared by routers seen, and levelling after
 )
 
-func chosen(f Fault, u version.Unit, seed uint64) Result {
-	ways := Ways(Routers)
-	return Scenario{Way: ways[len(ways)-1], Fault: f, Unit: u, Seed: seed}.Run()
+func runChosen(f Fault, u version.Unit, seed uint64) Result {
+	ways := Strategies(Routers)
+	return Scenario{Strategy: ways[len(ways)-1], Fault: f, Unit: u, Seed: seed}.Run()
 }
 
 func TestGapIsBoundedWithoutFaults(t *testing.T) {
 	for _, unit := range []version.Unit{version.UnitTokens, version.UnitAnswered} {
 		t.Run(string(unit), func(t *testing.T) {
 			t.Parallel()
-			r := chosen(FaultNone, unit, 7)
+			r := runChosen(FaultNone, unit, 7)
 			bound := boundQuiet
 			if unit == version.UnitAnswered {
 				bound = 64 // a tenth of the answers in flight: their costs are very unequal
@@ -39,55 +39,55 @@
 	}
 }
 
-func TestGapIsBoundedWhenTheSchedulersRouterDies(t *testing.T) {
+func TestGapIsBoundedWhenSchedulerIsKilled(t *testing.T) {
 	t.Parallel()
-	r := chosen(FaultKill, version.UnitTokens, 8)
+	r := runChosen(FaultKill, version.UnitTokens, 8)
 	assert.LessOrEqual(t, r.Gap, boundKill)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 	assert.Zero(t, r.Strays)
 }
 
-func TestGapIsBoundedOverACutAndAfterIt(t *testing.T) {
+func TestGapIsBoundedDuringAndAfterPartition(t *testing.T) {
 	t.Parallel()
-	r := chosen(FaultCut, version.UnitTokens, 5)
+	r := runChosen(FaultPartition, version.UnitTokens, 5)
 	assert.LessOrEqual(t, r.Gap, boundCut)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 	assert.Zero(t, r.Strays)
 }
 
-func TestFloodTakesNobodysShare(t *testing.T) {
+func TestFloodDoesNotReduceOtherShares(t *testing.T) {
 	t.Parallel()
-	r := chosen(FaultFlood, version.UnitTokens, 9)
+	r := runChosen(FaultFlood, version.UnitTokens, 9)
 	assert.LessOrEqual(t, r.Gap, boundQuiet)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 }
 
 // A flood at a late router of the routed interface broke shares. Here nobody decides
 // alone: a late router uses its grants late, and its organisation keeps its share.
-func TestOrganisationOfALateRouterKeepsItsShare(t *testing.T) {
+func TestOrganisationOfDelayedRouterKeepsItsShare(t *testing.T) {
 	t.Parallel()
-	r := chosen(FaultLate, version.UnitTokens, 9)
+	r := runChosen(FaultDelayedReads, version.UnitTokens, 9)
 	t.Logf("%+v", r)
 	assert.LessOrEqual(t, r.Gap, boundQuiet)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 }
 
 // The bounds above are worth something only if simple ways break them.
-func TestBaselinesBreakTheBound(t *testing.T) {
+func TestBaselinesExceedTheGapBound(t *testing.T) {
 	t.Parallel()
-	for _, way := range Ways(Routers)[:3] {
-		r := Scenario{Way: way, Fault: FaultNone, Unit: version.UnitTokens, Seed: 7}.Run()
+	for _, way := range Strategies(Routers)[:3] {
+		r := Scenario{Strategy: way, Fault: FaultNone, Unit: version.UnitTokens, Seed: 7}.Run()
 		assert.Greater(t, r.Gap, boundQuiet, way.Name)
 	}
 }
 
 func TestControlTrafficIsBounded(t *testing.T) {
 	t.Parallel()
-	r := chosen(FaultNone, version.UnitTokens, 11)
+	r := runChosen(FaultNone, version.UnitTokens, 11)
 	assert.Less(t, r.Control, 2048.0, "bytes/s a router, in a backlog of 18 requests/s")
 }
 
-func TestSharesAreKept(t *testing.T) {
+func TestServiceFollowsShares(t *testing.T) {
 	t.Parallel()
 	fleet := Fleet{Places: []string{"a", "b"}, Engines: 4, Slots: 16, Orgs: []Org{{Name: "one", Share: 1}, {Name: "three", Share: 3}}}
 	w := smallWorld(fleet, 3, 1, sched.Options{Horizon: 10e9, Settle: 5e8, Credits: true})
@@ -110,7 +110,7 @@
 }
 
 // A failure is worth its replay only if one seed gives one run.
-func TestOneSeedOneRun(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	t.Parallel()
-	assert.Equal(t, chosen(FaultKill, version.UnitTokens, 3), chosen(FaultKill, version.UnitTokens, 3))
+	assert.Equal(t, runChosen(FaultKill, version.UnitTokens, 3), runChosen(FaultKill, version.UnitTokens, 3))
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -65,13 +65,13 @@
 func (f Fleet) chatText() string {
 	var b strings.Builder
 	for i := range max(1, f.Models) {
-		fmt.Fprintf(&b, "[application %s]\nservice = model%d\nidempotent = true\nhint_tokens = ${hint}\nunit = ${unit}\nworth = ${worth}\ntimeout = 2h\n", Chat(i), i)
+		fmt.Fprintf(&b, "[application %s]\nservice = model%d\nidempotent = true\nhint_tokens = ${hint}\nunit = ${unit}\nworth = ${worth}\ntimeout = 2h\n", ChatApplication(i), i)
 	}
 	return b.String()
 }
 
 // Chat is the name of the application that calls the i-th model.
-func Chat(i int) string {
+func ChatApplication(i int) string {
 	if i == 0 {
 		return "chat"
 	}
@@ -112,56 +112,56 @@
 
 // Sizes of answers, in tokens: lognormal with a mean near 465.
 const (
-	LargestAnswer = 4096
-	sizeMu        = 5.6
-	sizeSigma     = 1.04
+	MaxAnswerTokens = 4096
+	sizeMu          = 5.6
+	sizeSigma       = 1.04
 )
 
 // Size draws one answer's tokens.
-func (w *World) Size() int {
+func (w *World) AnswerTokens() int {
 	n := math.Exp(sizeMu + sizeSigma*w.rnd.NormFloat64())
-	return int(min(max(n, 1), LargestAnswer))
+	return int(min(max(n, 1), MaxAnswerTokens))
 }
 
 const (
-	patience = time.Hour
-	again    = 50 * time.Millisecond // a closed-loop caller's pause after a refusal
+	callerTimeout = time.Hour
+	retryDelay    = 50 * time.Millisecond // a closed-loop caller's pause after a refusal
 )
 
 // KeepOpen keeps a number of requests open at the given hosts, for ever; when its
 // host is down a caller comes back by another.
 func (w *World) KeepOpen(o *version.Organisation, app string, open int, hosts []int) {
 	for i := range open {
-		w.caller(o, app, hosts, i)
+		w.runCaller(o, app, hosts, i)
 	}
 }
 
-func (w *World) caller(o *version.Organisation, app string, hosts []int, i int) {
+func (w *World) runCaller(o *version.Organisation, app string, hosts []int, i int) {
 	h := w.hostFor(o, hosts, i)
 	if h == nil {
-		w.After(time.Second, func() { w.caller(o, app, hosts, i) })
+		w.After(time.Second, func() { w.runCaller(o, app, hosts, i) })
 		return
 	}
 	finished := false
 	next := func() {
 		if !finished {
 			finished = true
-			w.caller(o, app, hosts, i)
+			w.runCaller(o, app, hosts, i)
 		}
 	}
-	w.Submit(h, o, app, w.Size(), patience, nil, func(j *Job) {
+	w.Submit(h, o, app, w.AnswerTokens(), callerTimeout, nil, func(j *Job) {
 		if j.Refused != "" {
-			w.After(again, next)
+			w.After(retryDelay, next)
 			return
 		}
 		next()
 	})
-	w.watchHost(h, next)
+	w.onHostKill(h, next)
 }
 
-// watchHost sends a caller elsewhere when its router dies.
-func (w *World) watchHost(h *Host, next func()) {
-	h.onDeath = append(h.onDeath, next)
+// onHostKill sends a caller elsewhere when its router dies.
+func (w *World) onHostKill(h *Host, next func()) {
+	h.onKill = append(h.onKill, next)
 }
 
 func (w *World) hostFor(o *version.Organisation, hosts []int, i int) *Host {
@@ -181,33 +181,33 @@
 // Meter follows the gap between backlogged organisations, and the slots used
 // while work waits.
 type Meter struct {
-	Gap  float64 // largest, in largest requests, over share
-	used float64
-	all  float64
-	base map[version.ID]float64
+	Gap        float64 // largest, in largest requests, over share
+	usedSlots  float64
+	totalSlots float64
+	base       map[version.ID]float64
 }
 
 // Utilisation is the part of all slots that were used.
-func (m *Meter) Utilisation() float64 { return m.used / m.all }
+func (m *Meter) Utilisation() float64 { return m.usedSlots / m.totalSlots }
 
 // Watch measures every second from now on. value returns each organisation's
 // service, in parts of the largest request.
-func (w *World) Watch(orgs []*version.Organisation, slots int, value func() map[version.ID]float64) *Meter {
+func (w *World) StartMeter(orgs []*version.Organisation, slots int, value func() map[version.ID]float64) *Meter {
 	m := &Meter{base: value()}
-	var look func()
-	look = func() {
-		m.look(orgs, value())
+	var sample func()
+	sample = func() {
+		m.sample(orgs, value())
 		for _, n := range w.Running {
-			m.used += float64(n)
+			m.usedSlots += float64(n)
 		}
-		m.all += float64(slots)
-		w.After(time.Second, look)
+		m.totalSlots += float64(slots)
+		w.After(time.Second, sample)
 	}
-	w.After(time.Second, look)
+	w.After(time.Second, sample)
 	return m
 }
 
-func (m *Meter) look(orgs []*version.Organisation, now map[version.ID]float64) {
+func (m *Meter) sample(orgs []*version.Organisation, now map[version.ID]float64) {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, o := range orgs {
 		v := (now[o.ID] - m.base[o.ID]) / o.Share
@@ -217,10 +217,10 @@
 }
 
 // Tokens returns service in tokens, in parts of the largest request.
-func (w *World) Tokens() map[version.ID]float64 {
+func (w *World) TokenService() map[version.ID]float64 {
 	out := w.Service()
 	for id := range out {
-		out[id] /= LargestAnswer
+		out[id] /= MaxAnswerTokens
 	}
 	return out
 }
--- a/internal/lab/job.go
+++ b/internal/lab/job.go
@@ -35,14 +35,14 @@
 	j.Starts++
 	w.Started++
 	j.Upstream = u
-	if up == w.NoStart {
-		w.Forbidden++
+	if up == w.ForbiddenUpstream {
+		w.ForbiddenStarts++
 	}
 	if !j.Org.Allows(u.Place) || !j.Org.Allows(j.Host.Place) {
 		w.Strays++
 	}
 	if w.Running[up] >= u.Slots {
-		w.full[up] = append(w.full[up], j)
+		w.queued[up] = append(w.queued[up], j)
 		return
 	}
 	w.begin(j)
@@ -52,37 +52,37 @@
 func (w *World) begin(j *Job) {
 	j.Running, j.Began = true, w.Now
 	w.Running[j.Upstream.ID]++
-	w.jobs[j] = true
+	w.runningJobs[j] = true
 	starts := j.Starts
-	w.After(w.First+w.tokenIn(j)*time.Duration(j.Tokens), func() {
+	w.After(w.FirstTokenDelay+w.tokenInterval(j)*time.Duration(j.Tokens), func() {
 		if j.Running && j.Starts == starts {
 			w.finish(j)
 		}
 	})
 }
 
-func (w *World) tokenIn(j *Job) time.Duration {
+func (w *World) tokenInterval(j *Job) time.Duration {
 	if s := w.Speed[j.Upstream.ID]; s > 0 {
-		return time.Duration(float64(w.TokenIn) / s)
+		return time.Duration(float64(w.TokenInterval) / s)
 	}
-	return w.TokenIn
+	return w.TokenInterval
 }
 
 // Generated is how many tokens a running job has made so far.
-func (w *World) Generated(j *Job) float64 {
-	n := int((w.Now.Sub(j.Began) - w.First) / w.tokenIn(j))
+func (w *World) GeneratedTokens(j *Job) float64 {
+	n := int((w.Now.Sub(j.Began) - w.FirstTokenDelay) / w.tokenInterval(j))
 	return float64(min(max(n, 0), j.Tokens))
 }
 
 func (w *World) finish(j *Job) {
 	units := float64(j.Tokens)
 	w.stop(j)
-	w.Counted[j.Org.ID]++
+	w.AnsweredRequests[j.Org.ID]++
 	app := j.Org.Applications[j.App]
 	if app.Unit == version.UnitAnswered {
 		units = app.Worth
 	}
-	gap := uint32(min(w.tokenIn(j).Milliseconds(), 75))
+	gap := uint32(min(w.tokenInterval(j).Milliseconds(), 75))
 	w.Step(j.Host, core.Finish{ID: j.ID, Units: units, Sample: wire.Sample{N: 1, GapMS: gap}, Answered: true})
 	w.end(j, func(*Job) {})
 }
@@ -92,14 +92,14 @@
 	if !j.Running {
 		return
 	}
-	w.Served[j.Org.ID] += w.Generated(j)
+	w.ServedTokens[j.Org.ID] += w.GeneratedTokens(j)
 	j.Running = false
 	up := j.Upstream.ID
 	w.Running[up]--
-	delete(w.jobs, j)
-	for len(w.full[up]) > 0 {
-		next := w.full[up][0]
-		w.full[up] = w.full[up][1:]
+	delete(w.runningJobs, j)
+	for len(w.queued[up]) > 0 {
+		next := w.queued[up][0]
+		w.queued[up] = w.queued[up][1:]
 		if next.Host.Up {
 			w.begin(next)
 			return
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -32,56 +32,56 @@
 
 // Host is one router in the lab.
 type Host struct {
-	ID      wire.NodeID
-	Place   string
-	Router  Router
-	Up      bool
-	Frozen  bool
-	Since   time.Time
-	jobs    map[uint64]*Job
-	nextID  uint64
-	held    []func() // what waits for a frozen host
-	onDeath []func()
+	ID       wire.NodeID
+	Place    string
+	Router   Router
+	Up       bool
+	Frozen   bool
+	Since    time.Time
+	jobs     map[uint64]*Job
+	nextID   uint64
+	deferred []func() // what waits for a frozen host
+	onKill   []func()
 }
 
 // World is the lab's state.
 type World struct {
-	Now       time.Time
-	Version   *version.Version
-	Hosts     map[wire.NodeID]*Host
-	Order     []wire.NodeID
-	Link      Link
-	Cut       func(a, b wire.NodeID) bool
-	Late      map[wire.NodeID]time.Duration // how long datagrams lie unread at a host
-	TokenIn   time.Duration                 // between tokens
-	First     time.Duration
-	Bytes     map[wire.NodeID]int64 // control bytes sent, with AEAD, UDP and IP headers
-	Sent      int64
-	Started   int64
-	Served    map[version.ID]float64 // tokens generated
-	Counted   map[version.ID]float64 // answered requests
-	Running   map[version.ID]int     // at each upstream
-	Strays    int                    // starts outside the places allowed
-	NoStart   version.ID             // an upstream that may get nothing new
-	Forbidden int                    // starts there
-	Events    map[string]int
-	Peers     []wire.NodeID // seeds of new hosts
-	Make      func(core.Settings, time.Time) Router
+	Now               time.Time
+	Version           *version.Version
+	Hosts             map[wire.NodeID]*Host
+	Order             []wire.NodeID
+	Link              Link
+	Partitioned       func(a, b wire.NodeID) bool
+	ReadDelay         map[wire.NodeID]time.Duration // how long datagrams lie unread at a host
+	TokenInterval     time.Duration                 // between tokens
+	FirstTokenDelay   time.Duration
+	SentBytes         map[wire.NodeID]int64 // control bytes sent, with AEAD, UDP and IP headers
+	Sent              int64
+	Started           int64
+	ServedTokens      map[version.ID]float64 // tokens generated
+	AnsweredRequests  map[version.ID]float64 // answered requests
+	Running           map[version.ID]int     // at each upstream
+	Strays            int                    // starts outside the places allowed
+	ForbiddenUpstream version.ID             // an upstream that may get nothing new
+	ForbiddenStarts   int                    // starts there
+	Events            map[string]int
+	Peers             []wire.NodeID // seeds of new hosts
+	NewRouter         func(core.Settings, time.Time) Router
 
 	Speed map[version.ID]float64 // of an upstream, 1 where not set
 
-	progressPeriod time.Duration
-	rnd            *rand.Rand
-	queue          events
-	full           map[version.ID][]*Job // waiting inside an upstream whose slots are taken
-	seq            int
-	jobs           map[*Job]bool
+	progressInterval time.Duration
+	rnd              *rand.Rand
+	queue            events
+	queued           map[version.ID][]*Job // waiting inside an upstream whose slots are taken
+	seq              int
+	runningJobs      map[*Job]bool
 }
 
 // overhead is what sealing, UDP and IPv4 add to an encoded datagram.
-const overhead = 28 + 28
+const datagramOverheadBytes = 28 + 28
 
-const progressEvery = 200 * time.Millisecond
+const defaultProgressInterval = 200 * time.Millisecond
 
 // New returns a world at a fixed time whose nodes are made by mk, or core nodes.
 func New(v *version.Version, seed uint64, mk func(core.Settings, time.Time) Router) *World {
@@ -89,13 +89,13 @@
 		mk = func(s core.Settings, now time.Time) Router { return core.New(s, now) }
 	}
 	return &World{
-		Now: time.Unix(1_800_000_000, 0), Version: v, Make: mk,
+		Now: time.Unix(1_800_000_000, 0), Version: v, NewRouter: mk,
 		Hosts: map[wire.NodeID]*Host{}, Link: Link{Delay: time.Millisecond, Jitter: time.Millisecond},
-		TokenIn: 75 * time.Millisecond, First: 300 * time.Millisecond,
-		Bytes: map[wire.NodeID]int64{}, Served: map[version.ID]float64{}, Counted: map[version.ID]float64{},
+		TokenInterval: 75 * time.Millisecond, FirstTokenDelay: 300 * time.Millisecond,
+		SentBytes: map[wire.NodeID]int64{}, ServedTokens: map[version.ID]float64{}, AnsweredRequests: map[version.ID]float64{},
 		Running: map[version.ID]int{}, Events: map[string]int{},
-		progressPeriod: progressEvery, Speed: map[version.ID]float64{}, full: map[version.ID][]*Job{},
-		rnd: rand.New(rand.NewPCG(seed, 1)), jobs: map[*Job]bool{},
+		progressInterval: defaultProgressInterval, Speed: map[version.ID]float64{}, queued: map[version.ID][]*Job{},
+		rnd: rand.New(rand.NewPCG(seed, 1)), runningJobs: map[*Job]bool{},
 	}
 }
 
@@ -107,7 +107,7 @@
 	opt.ID, opt.Place, opt.Inc = id, place, wire.IncarnationAt(w.Now)
 	opt.Seeds, opt.Seed = w.Peers, w.rnd.Uint64()
 	h := &Host{ID: id, Place: place, Up: true, Since: w.Now, jobs: map[uint64]*Job{}}
-	h.Router = w.Make(opt, w.Now)
+	h.Router = w.NewRouter(opt, w.Now)
 	if w.Hosts[id] == nil {
 		w.Order = append(w.Order, id)
 	}
@@ -115,8 +115,8 @@
 	if w.Version != nil {
 		h.Router.Step(core.NewVersion{Version: w.Version}, w.Now)
 	}
-	w.every(h, core.TickEvery, func() { h.Router.Tick(w.Now) })
-	w.every(h, w.progressPeriod, func() { w.progress(h) })
+	w.repeat(h, core.TickEvery, func() { h.Router.Tick(w.Now) })
+	w.repeat(h, w.progressInterval, func() { w.progress(h) })
 	return h
 }
 
@@ -127,10 +127,10 @@
 	for _, j := range h.jobs {
 		w.stop(j)
 	}
-	for _, f := range h.onDeath {
-		w.After(again, f)
+	for _, f := range h.onKill {
+		w.After(retryDelay, f)
 	}
-	h.onDeath = nil
+	h.onKill = nil
 }
 
 // Freeze stops a host's time until Thaw; what arrives meanwhile waits.
@@ -140,43 +140,43 @@
 func (w *World) Thaw(id wire.NodeID) {
 	h := w.Hosts[id]
 	h.Frozen = false
-	held := h.held
-	h.held = nil
-	for _, f := range held {
+	deferred := h.deferred
+	h.deferred = nil
+	for _, f := range deferred {
 		f()
 	}
-	w.act(h)
+	w.applyOutputs(h)
 }
 
 // every repeats f on a host while it lives.
-func (w *World) every(h *Host, d time.Duration, f func()) {
+func (w *World) repeat(h *Host, d time.Duration, f func()) {
 	w.After(d, func() {
 		if !h.Up {
 			return
 		}
 		if !h.Frozen {
 			f()
-			w.act(h)
+			w.applyOutputs(h)
 		}
-		w.every(h, d, f)
+		w.repeat(h, d, f)
 	})
 }
 
 // Step gives a host an input and carries out what follows.
 func (w *World) Step(h *Host, in core.Input) {
-	w.on(h, func() { h.Router.Step(in, w.Now) })
+	w.runOn(h, func() { h.Router.Step(in, w.Now) })
 }
 
-func (w *World) on(h *Host, f func()) {
+func (w *World) runOn(h *Host, f func()) {
 	if !h.Up {
 		return
 	}
 	if h.Frozen {
-		h.held = append(h.held, f)
+		h.deferred = append(h.deferred, f)
 		return
 	}
 	f()
-	w.act(h)
+	w.applyOutputs(h)
 }
 
 // Submit brings a request to a host. done is called at its end, if it has one.
@@ -189,39 +189,39 @@
 	return j
 }
 
-func (w *World) act(h *Host) {
+func (w *World) applyOutputs(h *Host) {
 	for _, o := range h.Router.Ready(w.Now) {
 		switch o := o.(type) {
 		case core.Send:
-			w.carry(h, o)
+			w.send(h, o)
 		case core.Start:
 			w.start(h.jobs[o.ID], o.Upstream)
 		case core.Refuse:
 			w.end(h.jobs[o.ID], func(j *Job) { j.Refused, j.Doubt = o.Reason, o.Doubt })
 		case core.Fetch:
-			w.fetch(h, o)
+			w.fetchVersion(h, o)
 		case core.Event:
 			w.Events[o.Name]++
 		}
 	}
 }
 
-func (w *World) carry(from *Host, s core.Send) {
+func (w *World) send(from *Host, s core.Send) {
 	raw, err := wire.Encode(s.Datagram)
 	if err != nil {
 		panic(err) // a node's own datagram is always within bounds
 	}
-	w.Bytes[from.ID] += int64(len(raw) + overhead)
+	w.SentBytes[from.ID] += int64(len(raw) + datagramOverheadBytes)
 	w.Sent++
 	copies := 1
 	if w.rnd.Float64() < w.Link.Dup {
 		copies = 2
 	}
 	for range copies {
-		if w.rnd.Float64() < w.Link.Drop || (w.Cut != nil && w.Cut(from.ID, s.To)) {
+		if w.rnd.Float64() < w.Link.Drop || (w.Partitioned != nil && w.Partitioned(from.ID, s.To)) {
 			continue
 		}
-		w.After(w.Link.Delay+time.Duration(w.rnd.Float64()*float64(w.Link.Jitter))+w.Late[s.To], func() { w.deliver(from.ID, s.To, raw) })
+		w.After(w.Link.Delay+time.Duration(w.rnd.Float64()*float64(w.Link.Jitter))+w.ReadDelay[s.To], func() { w.deliver(from.ID, s.To, raw) })
 	}
 }
 
@@ -238,9 +238,9 @@
 	w.Step(h, core.Receive{Datagram: d})
 }
 
-func (w *World) fetch(h *Host, f core.Fetch) {
+func (w *World) fetchVersion(h *Host, f core.Fetch) {
 	from := w.Hosts[f.From]
-	if from == nil || !from.Up || from.Frozen || (w.Cut != nil && w.Cut(h.ID, f.From)) {
+	if from == nil || !from.Up || from.Frozen || (w.Partitioned != nil && w.Partitioned(h.ID, f.From)) {
 		return
 	}
 	if n, ok := from.Router.(*core.Node); ok && n.Version() != nil {
@@ -252,12 +252,12 @@
 // Service returns the tokens generated for each organisation until now, those of
 // running jobs included.
 func (w *World) Service() map[version.ID]float64 {
-	out := make(map[version.ID]float64, len(w.Served))
-	for id, n := range w.Served {
+	out := make(map[version.ID]float64, len(w.ServedTokens))
+	for id, n := range w.ServedTokens {
 		out[id] = n
 	}
-	for j := range w.jobs {
-		out[j.Org.ID] += w.Generated(j)
+	for j := range w.runningJobs {
+		out[j.Org.ID] += w.GeneratedTokens(j)
 	}
 	return out
 }
@@ -265,7 +265,7 @@
 func (w *World) progress(h *Host) {
 	for id, j := range h.jobs {
 		if j.Running && j.Org.Applications[j.App].Unit == version.UnitTokens {
-			h.Router.Step(core.Progress{ID: id, Units: w.Generated(j)}, w.Now)
+			h.Router.Step(core.Progress{ID: id, Units: w.GeneratedTokens(j)}, w.Now)
 		}
 	}
 }
--- a/internal/lab/safety_test.go
+++ b/internal/lab/safety_test.go
@@ -89,25 +89,25 @@
 	assert.True(t, second.Doubt, "nobody is left who remembers: the outcome is unknown")
 }
 
-func TestOnlyOneSideOfACutRunsAKey(t *testing.T) {
+func TestOnlyOneSideOfPartitionRunsKey(t *testing.T) {
 	w := newFleet(t, 8, 4)
 	k := keyAt(w, 1)
-	cutAfter(w, 4)
+	partitionAfter(w, 4)
 	w.Run(8 * time.Second) // both sides have given the other up
 	a, b := order(w, 0, k), order(w, 7, k)
 	w.Run(10 * time.Second)
 	assert.LessOrEqual(t, a.Starts+b.Starts, 1)
 }
 
-func cutAfter(w *World, n int) {
+func partitionAfter(w *World, n int) {
 	side := map[wire.NodeID]bool{}
 	for _, id := range w.Order[:n] {
 		side[id] = true
 	}
-	w.Cut = func(a, b wire.NodeID) bool { return side[a] != side[b] }
+	w.Partitioned = func(a, b wire.NodeID) bool { return side[a] != side[b] }
 }
 
-func TestFrozenRouterWakesAfterItsRequestWasGivenUp(t *testing.T) {
+func TestRouterThawedAfterRequestTimeoutRunsKeyAtMostOnce(t *testing.T) {
 	w := newFleet(t, 8, 5)
 	k := keyAt(w, 1)
 	first := order(w, 0, k)
@@ -134,7 +134,7 @@
 		k := keyAt(w, 1)
 		var jobs []*Job
 		for range rapid.IntRange(3, 12).Draw(rt, "steps") {
-			act(rt, w, k, &jobs)
+			randomStep(rt, w, k, &jobs)
 			w.Run(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "pause")) * time.Millisecond)
 		}
 		w.Run(5 * time.Second)
@@ -142,7 +142,7 @@
 	})
 }
 
-func act(rt *rapid.T, w *World, k *claim.Key, jobs *[]*Job) {
+func randomStep(rt *rapid.T, w *World, k *claim.Key, jobs *[]*Job) {
 	host := rapid.IntRange(0, len(w.Order)-1).Draw(rt, "host")
 	id := w.Order[host]
 	h := w.Hosts[id]
@@ -156,9 +156,9 @@
 		w.Run(200 * time.Millisecond)
 		w.Boot(id, h.Place, settings(core.DefaultSched()))
 	case "cut":
-		cutAfter(w, rapid.IntRange(1, len(w.Order)-1).Draw(rt, "side"))
+		partitionAfter(w, rapid.IntRange(1, len(w.Order)-1).Draw(rt, "side"))
 	case "heal":
-		w.Cut = nil
+		w.Partitioned = nil
 	case "freeze":
 		w.Freeze(id)
 	case "thaw":
@@ -191,14 +191,14 @@
 	return n
 }
 
-func TestPlacesHoldUnderCutsAndChanges(t *testing.T) {
+func TestAllowedPlacesHoldUnderPartitionsAndChanges(t *testing.T) {
 	w := smallWorld(twoOrgs, 6, 6, core.DefaultSched())
 	w.KeepOpen(w.Version.ByName("x"), "chat", 60, []int{0, 1, 2})
 	w.KeepOpen(w.Version.ByName("y"), "chat", 60, []int{0, 2, 4})
 	w.Run(20 * time.Second)
-	cutAfter(w, 3)
+	partitionAfter(w, 3)
 	w.Run(20 * time.Second)
-	w.Cut = nil
+	w.Partitioned = nil
 	narrowed := twoOrgs
 	narrowed.Orgs = []Org{{Name: "x", Places: []string{"b"}}, {Name: "y", Places: []string{"a"}}}
 	v2 := narrowed.Load(2)
@@ -210,15 +210,15 @@
 	}
 	w.Version = v2 // from now on the lab's upstreams judge by the new places
 	for _, o := range v2.Organisations {
-		w.rejudge(o)
+		w.setOrganisation(o)
 	}
 	w.Run(60 * time.Second)
 	assert.Zero(t, w.Strays)
-	assert.Positive(t, w.Counted[w.Version.ByName("y").ID])
+	assert.Positive(t, w.AnsweredRequests[w.Version.ByName("y").ID])
 }
 
 // A place is evacuated by a version that one router learns first, and taken back by the next.
-func TestEvacuatedPlaceGetsNothingNew(t *testing.T) {
+func TestEvacuatedPlaceGetsNoNewRequests(t *testing.T) {
 	w := smallWorld(twoOrgs, 6, 9, core.DefaultSched())
 	w.KeepOpen(w.Version.ByName("x"), "chat", 80, []int{0, 1, 2, 3, 4, 5})
 	w.Run(20 * time.Second)
@@ -233,17 +233,17 @@
 	require.NotZero(t, some)
 	w.Step(w.Hosts[w.Order[4]], core.NewVersion{Version: evacuated})
 	w.Run(5 * time.Second)
-	w.NoStart = some
+	w.ForbiddenUpstream = some
 	w.Run(30 * time.Second)
-	assert.Zero(t, w.Forbidden)
+	assert.Zero(t, w.ForbiddenStarts)
 	w.Step(w.Hosts[w.Order[1]], core.NewVersion{Version: twoOrgs.Load(3)})
 	w.Run(30 * time.Second)
-	assert.Positive(t, w.Forbidden, "it was taken back, and gets work again")
+	assert.Positive(t, w.ForbiddenStarts, "it was taken back, and gets work again")
 }
 
 // rejudge makes later starts of the organisation's open jobs be checked against
 // its new places.
-func (w *World) rejudge(o *version.Organisation) {
+func (w *World) setOrganisation(o *version.Organisation) {
 	for _, h := range w.Hosts {
 		for _, j := range h.jobs {
 			if j.Org.ID == o.ID && !j.Running {
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	sources := map[string]func(w *World, u version.ID){
 		"one router hears from the upstream itself": func(w *World, u version.ID) {
 			w.Step(w.Hosts[w.Order[2]], core.Drain{Upstream: u})
@@ -262,7 +262,7 @@
 			w.Step(w.Hosts[w.Order[1]], core.Drain{Upstream: u, Firm: true})
 		},
 		"every router's list says so while the scheduler is cut off": func(w *World, u version.ID) {
-			cutAfter(w, 1)
+			partitionAfter(w, 1)
 			for _, id := range w.Order {
 				w.Step(w.Hosts[id], core.Drain{Upstream: u, Firm: true})
 			}
@@ -279,14 +279,14 @@
 			}
 			tell(w, u)
 			w.Run(5 * time.Second)
-			w.NoStart = u
+			w.ForbiddenUpstream = u
 			w.Run(55 * time.Second)
-			assert.Zero(t, w.Forbidden)
+			assert.Zero(t, w.ForbiddenStarts)
 		})
 	}
 }
 
-func TestVersionNeverGoesBack(t *testing.T) {
+func TestOlderVersionIsNeverAdopted(t *testing.T) {
 	w := smallWorld(twoOrgs, 5, 8, core.DefaultSched())
 	v2, v3 := twoOrgs.Load(2), twoOrgs.Load(3)
 	w.Step(w.Hosts[w.Order[0]], core.NewVersion{Version: v3})
@@ -305,16 +305,16 @@
 	assert.Equal(t, uint64(3), w.Hosts[w.Order[4]].Router.(*core.Node).Version().Number.Revision)
 }
 
-func TestTwoValuesOfOneRevisionHaveOneWinner(t *testing.T) {
+func TestFleetAgreesOnOneValueOfRevision(t *testing.T) {
 	w := smallWorld(twoOrgs, 5, 9, core.DefaultSched())
 	other := twoOrgs
 	other.Slots = 5
 	a, b := twoOrgs.Load(4), other.Load(4)
-	cutAfter(w, 2)
+	partitionAfter(w, 2)
 	w.Step(w.Hosts[w.Order[0]], core.NewVersion{Version: a})
 	w.Step(w.Hosts[w.Order[4]], core.NewVersion{Version: b})
 	w.Run(10 * time.Second)
-	w.Cut = nil
+	w.Partitioned = nil
 	w.Run(15 * time.Second)
 	want := max(a.Number.Hash, b.Number.Hash)
 	for _, id := range w.Order {
@@ -322,7 +322,7 @@
 	}
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCutsNoRequest(t *testing.T) {
 	w := smallWorld(twoOrgs, 4, 10, core.DefaultSched())
 	var jobs []*Job
 	o := w.Version.ByName("x")
@@ -340,7 +340,7 @@
 	}
 }
 
-func TestViewsAgreeOnTheScheduler(t *testing.T) {
+func TestRoutersAgreeOnScheduler(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := New(twoOrgs.Load(1), rapid.Uint64Range(1, 1<<30).Draw(rt, "seed"), nil)
 		w.Link.Drop = rapid.Float64Range(0.3, 0.8).Draw(rt, "drop")
@@ -361,14 +361,14 @@
 	})
 }
 
-func TestSlotsComeBackAfterEveryFault(t *testing.T) {
+func TestSlotsAreRecoveredAfterFaults(t *testing.T) {
 	w := smallWorld(twoOrgs, 6, 12, core.DefaultSched())
 	w.Link.Drop = 0.1
 	w.KeepOpen(w.Version.ByName("x"), "chat", 80, []int{0, 1, 2, 3, 4, 5})
 	for round := range 4 {
-		cutAfter(w, 1+round)
+		partitionAfter(w, 1+round)
 		w.Run(7 * time.Second)
-		w.Cut = nil
+		w.Partitioned = nil
 		w.Freeze(w.Order[round])
 		w.Run(6 * time.Second)
 		w.Thaw(w.Order[round])
@@ -388,7 +388,7 @@
 
 // In many quiet pools routers report every few seconds; grants and credits must
 // reach them all the same.
-func TestSpareCapacityLeavesNobodyWaiting(t *testing.T) {
+func TestNoRequestWaitsWithSpareCapacity(t *testing.T) {
 	t.Parallel()
 	c := Size{Nodes: 12, Engines: 60, Orgs: 12, PerNode: 0.5, Seconds: 20}.Measure()
 	assert.LessOrEqual(t, c.Waiting, 2)
--- a/internal/lab/tokens/callers.go
+++ b/internal/lab/tokens/arrivals.go
@@ -13,11 +13,11 @@
 const floodOrg = 6
 
 // arrivals draws what callers send in this millisecond.
-func (w *world) arrivals() {
+func (w *world) drawArrivals() {
 	for i := range classes {
 		c := &classes[i]
-		for org, share := range w.rates() {
-			mean := c.perSecond * w.Load * share / 1000
+		for org, share := range w.loadRatios() {
+			mean := c.perSecond * w.LoadFactor * share / 1000
 			for range w.poisson(mean) {
 				w.arrive(c, org)
 			}
@@ -26,16 +26,16 @@
 }
 
 // rates are the parts of the whole load that organisations send.
-func (w *world) rates() []float64 {
+func (w *world) loadRatios() []float64 {
 	total := 0.0
-	for _, x := range weights {
+	for _, x := range orgWeights {
 		total += x
 	}
-	out := make([]float64, len(weights))
-	for i, x := range weights {
+	out := make([]float64, len(orgWeights))
+	for i, x := range orgWeights {
 		out[i] = x / total
-		if w.Flood > 0 && w.floods() && (i == floodOrg || w.twoFloods() && i == promptOrg) {
-			out[i] *= w.Flood
+		if w.FloodFactor > 0 && w.isFlooding() && (i == floodOrg || w.hasTwoFloods() && i == secondFloodOrg) {
+			out[i] *= w.FloodFactor
 		}
 	}
 	return out
@@ -53,23 +53,23 @@
 }
 
 func (w *world) arrive(c *class, org int) {
-	thing := w.rnd.IntN(c.things)
-	first := w.rnd.IntN(c.sharedOfAll)
-	w.next++
+	thing := w.rnd.IntN(c.ownVariants)
+	first := w.rnd.IntN(c.baseVariants)
+	w.lastID++
 	parts := []engine.Part{
-		{ID: partID(c, 1, first), Tokens: c.base},
-		{ID: partID(c, 2, first*1000+thing), Tokens: c.own},
-		{ID: 1<<40 + w.next, Tokens: int(w.logNormal(c.prompt, c.promptsSpread, c.promptMost))},
+		{ID: partID(c, 1, first), Tokens: c.baseTokens},
+		{ID: partID(c, 2, first*1000+thing), Tokens: c.ownTokens},
+		{ID: 1<<40 + w.lastID, Tokens: int(w.logNormal(c.meanPromptTokens, c.promptSigma, c.maxPromptTokens))},
 	}
-	k := &call{class: c, org: org, parts: parts, arrived: w.now}
-	k.req = dispatch.Request{Service: serviceName, Org: orgName(org), Output: 1 + int(w.logNormal(c.output, 0.7, 5*c.output)),
+	k := &call{class: c, org: org, parts: parts, arrivedAt: w.now}
+	k.req = dispatch.Request{Service: serviceName, Org: orgName(org), Output: 1 + int(w.logNormal(c.meanOutputTokens, 0.7, 5*c.meanOutputTokens)),
 		Aim: w.now.Add(c.target), Deadline: w.now.Add(c.deadline)}
 	for _, p := range parts {
 		k.req.Input += p.Tokens
 		k.req.Parts = append(k.req.Parts, wire.PromptPart{Part: p.ID, Tokens: uint32(p.Tokens)})
 	}
 	w.res.Asked++
-	w.window(w.now).asked[org] += dispatch.Cost(k.req.Input, k.req.Output)
+	w.window(w.now).requested[org] += dispatch.Cost(k.req.Input, k.req.Output)
 	w.submit(k)
 }
 
@@ -102,15 +102,15 @@
 	if c.tries == 0 && w.rnd.Float64() < 0.7 {
 		at = (c.org + w.rnd.IntN(2)) % len(live)
 	}
-	w.next++
-	c.req.ID = w.next
+	w.lastID++
+	c.req.ID = w.lastID
 	c.router = live[at]
-	if id, fixed := w.entry(c); fixed {
+	if id, fixed := w.fixedRouter(c); fixed {
 		c.router = id
 	}
-	w.countAsked(c)
+	w.countRequested(c)
 	w.calls[c.req.ID] = c
-	if w.turnsAway(c) {
+	if w.shed(c) {
 		return
 	}
 	w.nodes[c.router].Step(dispatch.Arrive{Request: c.req}, w.now)
@@ -119,11 +119,11 @@
 // Standard returns the scenarios that are compared, without and with trouble.
 func Standard(d time.Duration) map[string]Scenario {
 	return map[string]Scenario{
-		"quiet":  {For: d, Load: 0.66}, // two thirds of the usual
-		"calm":   {For: d, Load: 1},
-		"busy":   {For: d, Load: 1.4},
-		"flood":  {For: d, Load: 1, Flood: 8},
-		"killed": {For: d, Load: 1, Kill: true},
-		"late":   {For: d, Load: 1, Routers: 24, Flood: 50, Late: true},
+		"quiet":  {Duration: d, LoadFactor: 0.66}, // two thirds of the usual
+		"calm":   {Duration: d, LoadFactor: 1},
+		"busy":   {Duration: d, LoadFactor: 1.4},
+		"flood":  {Duration: d, LoadFactor: 1, FloodFactor: 8},
+		"killed": {Duration: d, LoadFactor: 1, KillScheduler: true},
+		"late":   {Duration: d, LoadFactor: 1, Routers: 24, FloodFactor: 50, Overloaded: true},
 	}
 }
--- a/internal/lab/tokens/calls.go
+++ b/internal/lab/tokens/calls.go
@@ -11,20 +11,20 @@
 )
 
 type call struct {
-	class   *class
-	org     int
-	router  wire.NodeID
-	req     dispatch.Request
-	parts   []engine.Part
-	arrived time.Time
-	placed  time.Time
-	sent    time.Time
-	tries   int
-	expect  float64 // milliseconds to the first event
-	engine  string
+	class      *class
+	org        int
+	router     wire.NodeID
+	req        dispatch.Request
+	parts      []engine.Part
+	arrivedAt  time.Time
+	placedAt   time.Time
+	sentAt     time.Time
+	tries      int
+	expectedMS float64 // milliseconds to the first event
+	engine     string
 }
 
-func (w *world) place(o dispatch.Place) {
+func (w *world) sendToEngine(o dispatch.Place) {
 	c := w.calls[o.ID]
 	if c == nil || w.nodes[c.router] == nil {
 		return
@@ -36,14 +36,14 @@
 			r.Source = w.engines[id]
 		}
 	}
-	w.countAgain(c, e, r.Source)
+	w.countRereads(c, e, r.Source)
 	if !e.Add(r, w.now) {
 		w.nodes[c.router].Step(dispatch.End{ID: o.ID, Event: wire.NoteUnused}, w.now)
 		w.res.Refused++
 		return
 	}
-	c.sent, c.engine = w.now, o.Instance.ID
-	c.expect = float64(o.WaitMS + o.OwnMS)
+	c.sentAt, c.engine = w.now, o.Instance.ID
+	c.expectedMS = float64(o.WaitMS + o.OwnMS)
 }
 
 func indexOf(list []string, s string) int {
@@ -55,9 +55,9 @@
 	return -1
 }
 
-// countAgain counts shared parts that will be read though some engine has read them
+// countRereads counts shared parts that will be read though some engine has read them
 // lately.
-func (w *world) countAgain(c *call, e *engine.Engine, source engine.Keeper) {
+func (w *world) countRereads(c *call, e *engine.Engine, source engine.PrefixCache) {
 	have := e.Prefix(c.parts)
 	if source != nil {
 		have = max(have, source.Prefix(c.parts))
@@ -65,14 +65,14 @@
 	n := 0
 	for _, p := range c.parts[:len(c.parts)-1] {
 		n += p.Tokens
-		if last, used := w.lastUse[p.ID]; n > have && used && w.now.Sub(last) < recent {
+		if last, used := w.lastUsed[p.ID]; n > have && used && w.now.Sub(last) < rereadWindow {
 			w.res.ReadAgain += p.Tokens
 		}
-		w.lastUse[p.ID] = w.now
+		w.lastUsed[p.ID] = w.now
 	}
 }
 
-func (w *world) refused(o dispatch.Refuse) {
+func (w *world) retryRefused(o dispatch.Refuse) {
 	c := w.calls[o.ID]
 	if c == nil {
 		return
@@ -83,49 +83,49 @@
 		w.res.Refused++
 		return
 	}
-	w.again = append(w.again, c)
-	w.backAt = append(w.backAt, w.now.Add(o.After))
+	w.retries = append(w.retries, c)
+	w.retryAt = append(w.retryAt, w.now.Add(o.After))
 }
 
-// comeBack sends refused requests again, by another router, when they were told to.
-func (w *world) comeBack() {
-	var again []*call
+// sendRetries sends refused requests again, by another router, when they were told to.
+func (w *world) sendRetries() {
+	var retries []*call
 	var at []time.Time
-	for i, c := range w.again {
-		if w.backAt[i].After(w.now) {
-			again, at = append(again, c), append(at, w.backAt[i])
+	for i, c := range w.retries {
+		if w.retryAt[i].After(w.now) {
+			retries, at = append(retries, c), append(at, w.retryAt[i])
 			continue
 		}
 		w.submit(c)
 	}
-	w.again, w.backAt = again, at
+	w.retries, w.retryAt = retries, at
 }
 
-func (w *world) first(c *call, at time.Time) {
-	w.countBegun(c, at)
-	w.pred = append(w.pred, c.expect)
-	took := float64(at.Sub(c.sent).Microseconds()) / 1000
-	w.seen = append(w.seen, took)
-	if c.arrived.Sub(begin) > warmUp+learnIn {
-		w.ratios = append(w.ratios, took/max(1, c.expect))
+func (w *world) recordFirstEvent(c *call, at time.Time) {
+	w.countStarted(c, at)
+	w.predictedMS = append(w.predictedMS, c.expectedMS)
+	took := float64(at.Sub(c.sentAt).Microseconds()) / 1000
+	w.seenMS = append(w.seenMS, took)
+	if c.arrivedAt.Sub(startTime) > warmUpDuration+learnDuration {
+		w.ratios = append(w.ratios, took/max(1, c.expectedMS))
 	}
-	if at.Sub(c.arrived) > c.class.target {
+	if at.Sub(c.arrivedAt) > c.class.target {
 		w.res.Late++
 		return
 	}
 	w.res.InTarget++
-	w.window(c.arrived).got[c.org] += dispatch.Cost(c.req.Input, c.req.Output)
+	w.window(c.arrivedAt).inTime[c.org] += dispatch.Cost(c.req.Input, c.req.Output)
 }
 
 func (w *world) result() Result {
 	w.owed()
-	w.res.Fair = w.fair.least(int(w.For / time.Second))
+	w.res.Fair = w.fair.worst(int(w.Duration / time.Second))
 	for _, e := range w.engines {
 		w.res.Fetched += e.Fetched
 	}
 	for i, q := range Quantiles {
 		w.res.Ratio[i] = quantile(w.ratios, q)
-		w.res.Predicted[i], w.res.Seen[i] = quantile(w.pred, q), quantile(w.seen, q)
+		w.res.Predicted[i], w.res.Seen[i] = quantile(w.predictedMS, q), quantile(w.seenMS, q)
 	}
 	return w.res
 }
--- a/internal/lab/tokens/fair_test.go
+++ b/internal/lab/tokens/fair_test.go
@@ -11,9 +11,9 @@
 
 // fast reads three times what the operators state for the service, so that most of what is
 // given out lies beyond shares.
-func fast() engine.Figures {
-	f := engine.DefaultFigures
-	f.ReadPerMS, f.StepMS = 112, 3.23
+func fastEngine() engine.Config {
+	f := engine.DefaultConfig
+	f.PrefillTokensPerMS, f.StepMS = 112, 3.23
 	return f
 }
 
@@ -24,10 +24,10 @@
 // one large request that is served makes up for all that were refused in its step. The line
 // of the scheduler that settled it: asked 1,507,032, got 477,985, eight steps, not waiting,
 // while the flood had 1,676,808 of a share of 110,944.
-func TestFloodTakesNotAllThatIsBeyondShares(t *testing.T) {
+func TestFloodDoesNotTakeAllSpareCapacity(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		s := Scenario{For: 2 * short, Load: 1, Flood: 50, Engine: fast(), Seed: 4 + seed}
+		s := Scenario{Duration: 2 * shortRun, LoadFactor: 1, FloodFactor: 50, Engine: fastEngine(), Seed: 4 + seed}
 		r, err := s.Run()
 		require.NoError(t, err)
 		t.Logf("seed %d: %+v", s.Seed, r)
@@ -41,33 +41,33 @@
 // in tokens of four seconds: before the doors refused, the one had 4,217,000 and the other
 // 4,268,000; three seconds later it had 2,147,000 of a share of 1,186,000, while its routers
 // turned away nine in ten of its requests and the scheduler hardly any.
-func TestDoorLeavesAFloodHalfOfWhatAnotherBegins(t *testing.T) {
+func TestFloodAtLoadSheddingRouterStartsHalfOfAnotherFlood(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		s := Scenario{For: 2 * short, Load: 1, Routers: 24, Flood: 50, Door: true, Engine: fast(), Seed: 4 + seed}
-		w, err := s.play()
+		s := Scenario{Duration: 2 * shortRun, LoadFactor: 1, Routers: 24, FloodFactor: 50, LoadShedding: true, Engine: fastEngine(), Seed: 4 + seed}
+		w, err := s.simulate()
 		require.NoError(t, err)
-		least := w.fair.leastPart(lateOrg, promptOrg, 14, 26)
+		least := w.fair.minRatio(overloadedOrg, secondFloodOrg, 14, 26)
 		t.Logf("seed %d: least part %.2f, %+v", s.Seed, least, w.result())
-		assert.GreaterOrEqual(t, least, fairPart, "seed %d", s.Seed)
+		assert.GreaterOrEqual(t, least, minFairRatio, "seed %d", s.Seed)
 	}
 }
 
 // slow reads two fifths of what the operators state for the service.
-func slow() engine.Figures {
-	f := engine.DefaultFigures
-	f.ReadPerMS *= 0.4
+func slowEngine() engine.Config {
+	f := engine.DefaultConfig
+	f.PrefillTokensPerMS *= 0.4
 	return f
 }
 
 // Engines served less than was stated. Those under their shares, nearly everyone, were all
 // allowed to wait for four fifths of the target, and what an engine could have served in
 // time waited until it was late.
-func TestEnginesThatServeLessThanStatedServeItInTime(t *testing.T) {
+func TestEnginesSlowerThanStatedServeInTime(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		s := Standard(2 * short)["flood"]
-		s.Seed, s.Engine = 4+seed, slow()
+		s := Standard(2 * shortRun)["flood"]
+		s.Seed, s.Engine = 4+seed, slowEngine()
 		r, err := s.Run()
 		require.NoError(t, err)
 		t.Logf("seed %d: %+v", s.Seed, r)
--- a/internal/lab/tokens/late_test.go
+++ b/internal/lab/tokens/overload_test.go
@@ -14,10 +14,10 @@
 // requests and 1.83 million tokens in one second, twice the share of four. The others were
 // refused for what that router said it had placed (expected wait 595 ms at the median
 // engine, which had nothing to read), and its own organisation for the next four seconds.
-func TestFloodAtALateRouterKeepsShares(t *testing.T) {
+func TestFloodAtOverloadedRouterKeepsShares(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		s := Standard(2 * short)["late"]
+		s := Standard(2 * shortRun)["late"]
 		s.Seed = 3 + seed
 		r, err := s.Run()
 		require.NoError(t, err)
--- a/internal/lab/tokens/owed.go
+++ b/internal/lab/tokens/owed.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// windowFor is the time over which the users count what an organisation is owed.
-const windowFor = 4 * time.Second
+// windowDuration is the time over which the users count what an organisation is owed.
+const windowDuration = 4 * time.Second
 
 // window is what organisations asked for and got in time, in tokens as shares are
 // counted, by when the requests came.
-type window struct{ asked, got [16]float64 }
+type window struct{ requested, inTime [16]float64 }
 
 func (w *world) window(at time.Time) *window {
-	i := int(at.Sub(begin.Add(warmUp)) / windowFor)
+	i := int(at.Sub(startTime.Add(warmUpDuration)) / windowDuration)
 	for len(w.windows) <= i {
 		w.windows = append(w.windows, window{})
 	}
@@ -27,12 +27,12 @@
 	var owed, served, beyond float64
 	var orgOwed, orgServed [16]float64
 	for _, win := range w.windows {
-		shares := maxMin(win.asked[:], capacity*windowFor.Seconds())
+		shares := maxMin(win.requested[:], capacity*windowDuration.Seconds())
 		for i, share := range shares {
-			in := min(win.got[i], share)
+			in := min(win.inTime[i], share)
 			owed += share
 			served += in
-			beyond += win.got[i] - in
+			beyond += win.inTime[i] - in
 			orgOwed[i] += share
 			orgServed[i] += in
 		}
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -23,27 +23,27 @@
 	Routers     = 6
 	Engines     = 18
 	places      = 3
-	hop         = time.Millisecond // one way, between routers
+	linkDelay   = time.Millisecond // one way, between routers
 	serviceName = "model"
 	// capacity is the tokens a second that the operators state for the service.
 	capacity = 390_000
 	// sealed is what sealing, UDP and IPv4 add to a datagram, in bytes.
-	sealed = 56
+	datagramOverheadBytes = 56
 )
 
 // class is one kind of request.
 type class struct {
-	name          string
-	perSecond     float64
-	base, own     int     // tokens of the shared parts, mean
-	things        int     // how many different own shared parts
-	prompt        float64 // mean of the last part, its own
-	output        float64
-	target        time.Duration
-	deadline      time.Duration
-	sharedOfAll   int // how many different first parts
-	promptMost    float64
-	promptsSpread float64
+	name                  string
+	perSecond             float64
+	baseTokens, ownTokens int     // tokens of the shared parts, mean
+	ownVariants           int     // how many different own shared parts
+	meanPromptTokens      float64 // mean of the last part, its own
+	meanOutputTokens      float64
+	target                time.Duration
+	deadline              time.Duration
+	baseVariants          int // how many different first parts
+	maxPromptTokens       float64
+	promptSigma           float64
 }
 
 var classes = []class{
@@ -54,16 +54,16 @@
 
 // Scenario is one run.
 type Scenario struct {
-	Seed    uint64
-	For     time.Duration
-	Load    float64 // times the rates of the sheet
-	Flood   float64 // times its usual that one organisation sends in the middle third
-	Kill    bool    // the scheduler's router dies in the middle
-	Routers int     // 0 is Routers
-	Late    bool    // two organisations flood, one of them by a router short of processor
-	Door    bool    // two organisations flood, one of them by a router that refuses at its door
-	Without dispatch.Without
-	Engine  engine.Figures // of every engine; the zero value is engine.DefaultFigures
+	Seed          uint64
+	Duration      time.Duration
+	LoadFactor    float64 // times the rates of the sheet
+	FloodFactor   float64 // times its usual that one organisation sends in the middle third
+	KillScheduler bool    // the scheduler's router dies in the middle
+	Routers       int     // 0 is Routers
+	Overloaded    bool    // two organisations flood, one of them by a router short of processor
+	LoadShedding  bool    // two organisations flood, one of them by a router that refuses at its door
+	Without       dispatch.Without
+	Engine        engine.Config // of every engine; the zero value is engine.DefaultFigures
 }
 
 // Result is what a run showed.
@@ -84,7 +84,7 @@
 // Quantiles of Predicted and Seen times to the first event, in milliseconds.
 var Quantiles = [3]float64{0.5, 0.9, 0.99}
 
-type mail struct {
+type inFlight struct {
 	at time.Time
 	to wire.NodeID
 	d  *wire.Datagram
@@ -92,32 +92,32 @@
 
 type world struct {
 	Scenario
-	rnd     *rand.Rand
-	now     time.Time
-	nodes   map[wire.NodeID]*dispatch.Node
-	order   []wire.NodeID
-	engines map[string]*engine.Engine
-	ids     []string
-	calls   map[uint64]*call
-	again   []*call // refused, to come back
-	backAt  []time.Time
-	mail    []mail
-	next    uint64
-	bytes   int
-	windows []window
-	fair    fairness
-	delayed []delayed
-	door    doorState
-	reading int // engine milliseconds with prompts unread
-	lastUse map[uint64]time.Time
-	res     Result
-	pred    []float64
-	seen    []float64
-	ratios  []float64
+	rnd         *rand.Rand
+	now         time.Time
+	nodes       map[wire.NodeID]*dispatch.Node
+	order       []wire.NodeID
+	engines     map[string]*engine.Engine
+	ids         []string
+	calls       map[uint64]*call
+	retries     []*call // refused, to come back
+	retryAt     []time.Time
+	inFlight    []inFlight
+	lastID      uint64
+	sentBytes   int
+	windows     []window
+	fair        fairness
+	delayed     []delayed
+	shedder     loadShedder
+	readingMS   int // engine milliseconds with prompts unread
+	lastUsed    map[uint64]time.Time
+	res         Result
+	predictedMS []float64
+	seenMS      []float64
+	ratios      []float64
 }
 
 // weights of the organisations: a few are large.
-var weights = func() []float64 {
+var orgWeights = func() []float64 {
 	var w []float64
 	for i := range 16 {
 		w = append(w, 1/math.Pow(float64(i+1), 0.9))
@@ -125,11 +125,11 @@
 	return w
 }()
 
-var begin = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
 // Run plays a scenario.
 func (s Scenario) Run() (Result, error) {
-	w, err := s.play()
+	w, err := s.simulate()
 	if err != nil {
 		return Result{}, err
 	}
@@ -137,52 +137,52 @@
 }
 
 // play returns the world at the end of a scenario.
-func (s Scenario) play() (*world, error) {
-	w := &world{Scenario: s, rnd: rand.New(rand.NewPCG(s.Seed, 7)), now: begin, nodes: map[wire.NodeID]*dispatch.Node{}, engines: map[string]*engine.Engine{},
-		calls: map[uint64]*call{}, lastUse: map[uint64]time.Time{}, door: newDoorState()}
+func (s Scenario) simulate() (*world, error) {
+	w := &world{Scenario: s, rnd: rand.New(rand.NewPCG(s.Seed, 7)), now: startTime, nodes: map[wire.NodeID]*dispatch.Node{}, engines: map[string]*engine.Engine{},
+		calls: map[uint64]*call{}, lastUsed: map[uint64]time.Time{}, shedder: newLoadShedder()}
 	if err := w.boot(); err != nil {
 		return nil, err
 	}
-	for w.now.Before(begin.Add(warmUp)) {
+	for w.now.Before(startTime.Add(warmUpDuration)) {
 		w.step(false)
 	}
-	sent := w.bytes
-	w.reading = 0
-	for w.now.Before(begin.Add(warmUp + s.For)) {
+	sent := w.sentBytes
+	w.readingMS = 0
+	for w.now.Before(startTime.Add(warmUpDuration + s.Duration)) {
 		w.step(true)
 	}
-	w.res.Busy = float64(w.reading) / float64(s.For.Milliseconds()) / Engines
-	w.res.Control = float64(w.bytes-sent) / s.For.Seconds() / float64(w.routers())
-	for end := w.now.Add(tail); w.now.Before(end); {
+	w.res.Busy = float64(w.readingMS) / float64(s.Duration.Milliseconds()) / Engines
+	w.res.Control = float64(w.sentBytes-sent) / s.Duration.Seconds() / float64(w.routers())
+	for end := w.now.Add(drainDuration); w.now.Before(end); {
 		w.step(false)
 	}
 	return w, nil
 }
 
 const (
-	// warmUp is how long routers have to know each other before callers send.
-	warmUp = 3 * time.Second
-	// learnIn is how long after the first callers engines that nobody knows are learned.
-	learnIn = 5 * time.Second
+	// warmUpDuration is how long routers have to know each other before callers send.
+	warmUpDuration = 3 * time.Second
+	// learnDuration is how long after the first callers engines that nobody knows are learned.
+	learnDuration = 5 * time.Second
 	// tail is how long the last requests have to end.
-	tail = 8 * time.Second
+	drainDuration = 8 * time.Second
 	// recent is how long after its last use a part that is read again counts, as at
 	// the users'.
-	recent = 7200 * time.Millisecond
+	rereadWindow = 7200 * time.Millisecond
 )
 
 func (w *world) boot() error {
 	b := routing.Builder{Number: 1, Limits: routing.Limits{TokensPerSecond: capacity}}
 	f := w.Engine
-	if f == (engine.Figures{}) {
-		f = engine.DefaultFigures
+	if f == (engine.Config{}) {
+		f = engine.DefaultConfig
 	}
 	b.Services = []*routing.Service{{Name: serviceName, Engine: &routing.Engine{Slots: f.Slots, MemoryTokens: f.MemoryTokens, TokenBytes: 327_680, EventTokens: f.EventTokens}}}
 	for _, c := range classes {
 		b.Routes = append(b.Routes, &routing.Route{Name: c.name, Host: "h", Prefix: "/" + c.name + "/", Kind: routing.Stream, Timeout: c.deadline, Target: c.target,
 			MaxAttempts: 1, Split: []routing.Part{{Service: serviceName, Weight: 1}}})
 	}
-	for i := range weights {
+	for i := range orgWeights {
 		b.AddOrganisation(&routing.Organisation{Name: orgName(i)}, []string{orgName(i)})
 	}
 	table, err := b.Build()
@@ -193,13 +193,13 @@
 	for i := range Engines {
 		id := fmt.Sprintf("e%02d", i)
 		list = append(list, routing.Instance{ID: id, Service: serviceName, Address: "10.9.0." + fmt.Sprint(i) + ":1", Place: placeName(i)})
-		w.engines[id] = engine.New(f, begin)
+		w.engines[id] = engine.New(f, startTime)
 		w.ids = append(w.ids, id)
 	}
 	for i := range w.routers() {
 		id := wire.NodeID(fmt.Sprintf("10.1.0.%d:1", i))
-		n := dispatch.New(dispatch.Settings{ID: id, Inc: 1, Place: placeName(i), Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: dispatch.DefaultRetryRules, Seed: uint64(i), Without: w.Without}, begin)
-		n.Step(dispatch.Catalogue{Table: table, Instances: list, Revision: 5, AsOf: 9}, begin)
+		n := dispatch.New(dispatch.Settings{ID: id, Inc: 1, Place: placeName(i), Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: dispatch.DefaultRetryRules, Seed: uint64(i), Without: w.Without}, startTime)
+		n.Step(dispatch.Catalogue{Table: table, Instances: list, Revision: 5, AsOf: 9}, startTime)
 		w.nodes[id] = n
 		w.order = append(w.order, id)
 	}
@@ -214,15 +214,15 @@
 func (w *world) step(load bool) {
 	w.now = w.now.Add(time.Millisecond)
 	if load {
-		w.arrivals()
-		w.middle()
+		w.drawArrivals()
+		w.killSchedulerHalfway()
 	}
-	w.comeBack()
-	w.tickDoor()
-	w.catchUp()
+	w.sendRetries()
+	w.tickShedder()
+	w.runDelayed()
 	w.advanceEngines()
 	w.deliver()
-	tick := w.now.Sub(begin)%dispatch.TickEvery == 0
+	tick := w.now.Sub(startTime)%dispatch.TickEvery == 0
 	for _, id := range w.order {
 		n := w.nodes[id]
 		if n == nil {
@@ -231,13 +231,13 @@
 		if tick {
 			n.Tick(w.now)
 		}
-		w.act(id, n.Ready(w.now))
+		w.applyOutputs(id, n.Ready(w.now))
 	}
 }
 
 // middle kills the scheduler's router halfway, when the scenario says so.
-func (w *world) middle() {
-	if !w.Kill || !w.now.Equal(begin.Add(warmUp+w.For/2)) {
+func (w *world) killSchedulerHalfway() {
+	if !w.KillScheduler || !w.now.Equal(startTime.Add(warmUpDuration+w.Duration/2)) {
 		return
 	}
 	for _, id := range w.order {
@@ -248,7 +248,7 @@
 	}
 }
 
-func (w *world) act(id wire.NodeID, outs []dispatch.Output) {
+func (w *world) applyOutputs(id wire.NodeID, outs []dispatch.Output) {
 	for _, o := range outs {
 		switch o := o.(type) {
 		case dispatch.Send:
@@ -256,36 +256,36 @@
 			if err != nil {
 				panic(err) // our own message: an invariant
 			}
-			w.bytes += len(raw) + sealed
+			w.sentBytes += len(raw) + datagramOverheadBytes
 			o.Datagram.From = id
-			w.mail = append(w.mail, mail{w.now.Add(hop), o.To, o.Datagram})
+			w.inFlight = append(w.inFlight, inFlight{w.now.Add(linkDelay), o.To, o.Datagram})
 		case dispatch.Place:
 			if c := w.calls[o.ID]; c != nil {
-				c.placed = w.now
+				c.placedAt = w.now
 			}
-			w.soon(id, lateSend, func() { w.place(o) })
+			w.doOrDelay(id, overloadSendDelay, func() { w.sendToEngine(o) })
 		case dispatch.Refuse:
-			w.refused(o)
+			w.retryRefused(o)
 		}
 	}
 }
 
 func (w *world) deliver() {
-	var later []mail
-	for _, m := range w.mail {
+	var later []inFlight
+	for _, m := range w.inFlight {
 		if m.at.After(w.now) {
 			later = append(later, m)
 		} else if w.nodes[m.to] != nil {
-			w.tell(m.to, dispatch.Receive{Datagram: m.d})
+			w.deliverInput(m.to, dispatch.Receive{Datagram: m.d})
 		}
 	}
-	w.mail = later
+	w.inFlight = later
 }
 
 func (w *world) advanceEngines() {
 	for _, id := range w.ids {
-		if w.engines[id].Reading() {
-			w.reading++
+		if w.engines[id].HasUnreadPrompt() {
+			w.readingMS++
 		}
 		for _, ev := range w.engines[id].Advance(w.now) {
 			c := w.calls[ev.ID]
@@ -296,12 +296,12 @@
 				continue
 			}
 			if ev.Kind == engine.First {
-				w.first(c, ev.At)
-				w.tell(c.router, dispatch.First{ID: ev.ID, After: ev.At.Sub(c.placed)})
+				w.recordFirstEvent(c, ev.At)
+				w.deliverInput(c.router, dispatch.First{ID: ev.ID, After: ev.At.Sub(c.placedAt)})
 				continue
 			}
 			delete(w.calls, ev.ID)
-			w.tell(c.router, dispatch.End{ID: ev.ID, Event: wire.NoteDone})
+			w.deliverInput(c.router, dispatch.End{ID: ev.ID, Event: wire.NoteDone})
 		}
 	}
 }
--- a/internal/lab/tokens/tokens_test.go
+++ b/internal/lab/tokens/tokens_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/engine"
 )
 
-func play(t *testing.T, s Scenario) Result {
+func runScenario(t *testing.T, s Scenario) Result {
 	t.Helper()
 	s.Seed = 3
 	r, err := s.Run()
@@ -20,32 +20,32 @@
 	return r
 }
 
-const short = 20 * time.Second
+const shortRun = 20 * time.Second
 
-func TestCalmIsServedInTime(t *testing.T) {
+func TestNormalLoadIsServedInTime(t *testing.T) {
 	t.Parallel()
-	r := play(t, Standard(short)["calm"])
+	r := runScenario(t, Standard(shortRun)["calm"])
 	assert.Greater(t, r.Owed, 0.94)
 	assert.Greater(t, r.Least, 0.8)
 }
 
 // unlike are engines that differ by up to ten times in each figure.
-var unlike = map[string]engine.Figures{
-	"middle": engine.DefaultFigures,
-	"fast, with much time beyond reading": {Slots: 128, MemoryTokens: 986_000, StepMS: 3.23, StepPerRunMS: 0.0483, ContextPerK: 0.00146, ReadPerMS: 112, Chunk: 2048, EventTokens: 5,
-		MovePerMS: 3900, MoveSetupMS: 1.7, FirstMS: 47, PairsMS: 0.154},
-	"slow, attention dear": {Slots: 32, MemoryTokens: 400_000, StepMS: 15, StepPerRunMS: 0.1, ContextPerK: 0.05, ReadPerMS: 13, Chunk: 512, EventTokens: 1,
-		MovePerMS: 200, MoveSetupMS: 5, PairsMS: 2},
+var dissimilarEngines = map[string]engine.Config{
+	"middle": engine.DefaultConfig,
+	"fast, with much time beyond reading": {Slots: 128, MemoryTokens: 986_000, StepMS: 3.23, StepPerRequestMS: 0.0483, StepPer1KContextMS: 0.00146, PrefillTokensPerMS: 112, PrefillChunkTokens: 2048, EventTokens: 5,
+		FetchTokensPerMS: 3900, FetchSetupMS: 1.7, RequestSetupMS: 47, AttentionMSPerMPairs: 0.154},
+	"slow, attention dear": {Slots: 32, MemoryTokens: 400_000, StepMS: 15, StepPerRequestMS: 0.1, StepPer1KContextMS: 0.05, PrefillTokensPerMS: 13, PrefillChunkTokens: 512, EventTokens: 1,
+		FetchTokensPerMS: 200, FetchSetupMS: 5, AttentionMSPerMPairs: 2},
 }
 
 // The model that decides is learned: on engines unlike each other half of all first
 // events come within a fifth of what was expected, and nine in ten within twice and a half.
-func TestModelPredictsUnlikeEngines(t *testing.T) {
+func TestModelPredictsDissimilarEngines(t *testing.T) {
 	t.Parallel()
-	for name, figures := range unlike {
-		s := Standard(short)["calm"]
-		s.Engine, s.Load = figures, 0.5*figures.ReadPerMS/engine.DefaultFigures.ReadPerMS
-		r := play(t, s)
+	for name, figures := range dissimilarEngines {
+		s := Standard(shortRun)["calm"]
+		s.Engine, s.LoadFactor = figures, 0.5*figures.PrefillTokensPerMS/engine.DefaultConfig.PrefillTokensPerMS
+		r := runScenario(t, s)
 		assert.InDelta(t, 1, r.Ratio[0], 0.2, name)
 		assert.Less(t, r.Ratio[1], 2.5, name)
 		for i := range Quantiles {
@@ -54,27 +54,27 @@
 	}
 }
 
-func TestFloodTakesNobodysShareOfTokens(t *testing.T) {
+func TestFloodDoesNotReduceOtherTokenShares(t *testing.T) {
 	t.Parallel()
-	s := Standard(short)["flood"]
-	with := play(t, s)
+	s := Standard(shortRun)["flood"]
+	with := runScenario(t, s)
 	s.Without = dispatch.Without{Shares: true}
-	without := play(t, s)
+	without := runScenario(t, s)
 	assert.Greater(t, with.Owed, without.Owed)
 	assert.Greater(t, with.Least, without.Least)
 }
 
 func TestKilledSchedulerCostsLittle(t *testing.T) {
 	t.Parallel()
-	calm, killed := play(t, Standard(short)["calm"]), play(t, Standard(short)["killed"])
+	calm, killed := runScenario(t, Standard(shortRun)["calm"]), runScenario(t, Standard(shortRun)["killed"])
 	assert.Greater(t, killed.Owed, calm.Owed-0.1)
 }
 
-func TestRunFollowsFromItsSeed(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"calm", "killed"} {
 		s := Standard(4 * time.Second)[name]
-		assert.Equal(t, play(t, s), play(t, s), name)
+		assert.Equal(t, runScenario(t, s), runScenario(t, s), name)
 	}
 }
 
--- a/internal/process/path_test.go
+++ b/internal/process/path_test.go
@@ -68,7 +68,7 @@
 	var text strings.Builder
 	for i, p := range places {
 		fmt.Fprintf(&text, "[place %s]\nregion = r\n", p)
-		e := &standin.Engine{Gap: time.Millisecond, Tokens: 20}
+		e := &standin.Engine{TokenInterval: time.Millisecond, DefaultTokens: 20}
 		f.engines = append(f.engines, e)
 		fmt.Fprintf(&text, "[upstream e%d]\nservice = model\nplace = %s\naddress = %s\nslots = 8\n", i, p, serveEngine(e.Handler()))
 	}
@@ -228,7 +228,7 @@
 func TestBrokenStreamIsVisiblyBroken(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
-		e.Gap = 20 * time.Millisecond
+		e.TokenInterval = 20 * time.Millisecond
 		e.LoseAt = 5
 	}
 	a := f.chat(0, "chat", "lost", true, 20)
@@ -239,7 +239,7 @@
 func TestForeignAnswerIsNotPassedOn(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
-		e.Crossed = true
+		e.WrongRequestID = true
 	}
 	a := f.chat(0, "once", "mine", false, 5)
 	assert.Equal(t, outcome.Unknown, a.kind)
@@ -395,7 +395,7 @@
 func TestNotRunSaysWhenToComeBackAtOnce(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
-		e.Gap = 50 * time.Millisecond
+		e.TokenInterval = 50 * time.Millisecond
 	}
 	var wg sync.WaitGroup
 	for range 24 { // every slot of the three engines
@@ -456,7 +456,7 @@
 func TestPlannedStopCutsNoRequest(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
-		e.Gap = 20 * time.Millisecond
+		e.TokenInterval = 20 * time.Millisecond
 	}
 	var wg sync.WaitGroup
 	for i := range 18 {
@@ -478,7 +478,7 @@
 func TestCallerThatGoesAwayFreesItsSlot(t *testing.T) {
 	f := newTestFleet(t)
 	for _, e := range f.engines {
-		e.Gap = 100 * time.Millisecond
+		e.TokenInterval = 100 * time.Millisecond
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", f.url(0)+"/v1/chat/completions", strings.NewReader(chatBody("chat", "x", true, 500)))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,15 +16,15 @@
 // Engine is a stand-in model engine: it admits at once, streams words at a fixed
 // pace, and can resume and cancel streams.
 type Engine struct {
-	Journal Journal
-	First   time.Duration // to the first token
-	Gap     time.Duration // between tokens
-	Tokens  int           // of an answer without max_tokens
-	CutAt   int           // connection is cut once before this event, 0 for never
-	LoseAt  int           // the stream is lost before this event, 0 for never
-	Crossed bool          // replies name another attempt
-
-	gate
+	Journal         Journal
+	FirstTokenDelay time.Duration // to the first token
+	TokenInterval   time.Duration // between tokens
+	DefaultTokens   int           // of an answer without max_tokens
+	CutAt           int           // connection is cut once before this event, 0 for never
+	LoseAt          int           // the stream is lost before this event, 0 for never
+	WrongRequestID  bool          // replies name another attempt
+
+	leaveState
 	mu      sync.Mutex
 	streams map[string]*generation
 	running int
@@ -63,7 +63,7 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	if e.refuses(w, r) {
+	if e.refuseIfLeaving(w, r) {
 		return
 	}
 	var c completion
@@ -76,19 +76,19 @@
 	g := e.begin(id, c)
 	defer e.end()
 	w.Header().Set("X-Request-Id", id)
-	if e.Crossed {
+	if e.WrongRequestID {
 		w.Header().Set("X-Request-Id", "another")
 	}
 	if c.Stream {
-		e.stream(w, r, id, g, 0)
+		e.writeStream(w, r, id, g, 0)
 		return
 	}
-	time.Sleep(e.First + e.Gap*time.Duration(g.total))
-	e.whole(w, id, g)
+	time.Sleep(e.FirstTokenDelay + e.TokenInterval*time.Duration(g.total))
+	e.writeWhole(w, id, g)
 }
 
 func (e *Engine) begin(id string, c completion) *generation {
-	g := &generation{began: time.Now(), total: e.Tokens}
+	g := &generation{began: time.Now(), total: e.DefaultTokens}
 	if c.Max > 0 {
 		g.total = c.Max
 	}
@@ -110,17 +110,17 @@
 
 // word is the i-th token of an answer; the first repeats the question, so that a
 // caller can tell whose answer it has.
-func (g *generation) word(i int) string {
+func (g *generation) token(i int) string {
 	if i == 0 {
 		return "re:" + g.echo
 	}
 	return " w" + strconv.Itoa(i)
 }
 
-func (e *Engine) whole(w http.ResponseWriter, id string, g *generation) {
+func (e *Engine) writeWhole(w http.ResponseWriter, id string, g *generation) {
 	var text strings.Builder
 	for i := range g.total {
-		text.WriteString(g.word(i))
+		text.WriteString(g.token(i))
 	}
 	writeJSON(w, map[string]any{
 		"id": id, "object": "chat.completion",
@@ -130,20 +130,20 @@
 }
 
 // stream sends events from a position on, at the pace of generation.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, id string, g *generation, from int) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, id string, g *generation, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	for i := from; i <= g.total; i++ {
-		if !e.due(r, g, i) {
+		if !e.waitForToken(r, g, i) {
 			return
 		}
-		if e.cutsBefore(g, i) {
+		if e.breaksBefore(g, i) {
 			panic(http.ErrAbortHandler)
 		}
 		if i == g.total {
 			fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", i)
 		} else {
-			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, chunk(id, g.word(i)))
+			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, chunk(id, g.token(i)))
 		}
 		if rc.Flush() != nil {
 			return
@@ -160,8 +160,8 @@
 }
 
 // due waits until the i-th event has been generated; false when it will not be.
-func (e *Engine) due(r *http.Request, g *generation, i int) bool {
-	at := g.began.Add(e.First + e.Gap*time.Duration(i))
+func (e *Engine) waitForToken(r *http.Request, g *generation, i int) bool {
+	at := g.began.Add(e.FirstTokenDelay + e.TokenInterval*time.Duration(i))
 	select {
 	case <-time.After(time.Until(at)):
 	case <-r.Context().Done():
@@ -172,7 +172,7 @@
 	return !g.canceled
 }
 
-func (e *Engine) cutsBefore(g *generation, i int) bool {
+func (e *Engine) breaksBefore(g *generation, i int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.LoseAt > 0 && i == e.LoseAt {
@@ -197,7 +197,7 @@
 		http.Error(w, "no such stream or position", http.StatusNotFound)
 		return
 	}
-	e.stream(w, r, id, g, from)
+	e.writeStream(w, r, id, g, from)
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/port.go
+++ b/internal/standin/freeaddr.go
@@ -24,14 +24,14 @@
 	for range span {
 		port := firstPort + (start+nextPort.Add(1))%span
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
-		if free(addr) {
+		if isFree(addr) {
 			return addr
 		}
 	}
 	panic("no free port on loopback")
 }
 
-func free(addr string) bool {
+func isFree(addr string) bool {
 	t, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -17,7 +17,7 @@
 	Delay   time.Duration
 	BreakOn string // path on which the connection breaks after the call has run
 
-	gate
+	leaveState
 }
 
 // Handler returns the service's routes.
@@ -30,7 +30,7 @@
 }
 
 func (p *Plain) run(w http.ResponseWriter, r *http.Request) {
-	if p.refuses(w, r) {
+	if p.refuseIfLeaving(w, r) {
 		return
 	}
 	raw, err := io.ReadAll(r.Body)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,21 +13,21 @@
 // Platform is a stand-in for the configuration service and the VM list. Routers
 // only read it; PUT is the operators' side.
 type Platform struct {
-	mu     sync.Mutex
-	values map[string]value
-	wake   chan struct{}
-	down   bool
-	calls  int
+	mu      sync.Mutex
+	values  map[string]value
+	changed chan struct{}
+	down    bool
+	calls   int
 }
 
 type value struct {
-	raw []byte
-	rev int
+	raw      []byte
+	revision int
 }
 
 // NewPlatform returns a platform that has published nothing.
 func NewPlatform() *Platform {
-	return &Platform{values: map[string]value{}, wake: make(chan struct{})}
+	return &Platform{values: map[string]value{}, changed: make(chan struct{})}
 }
 
 // Handler returns the platform's routes.
@@ -43,9 +43,9 @@
 func (p *Platform) Publish(name string, raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.values[name] = value{raw: raw, rev: p.values[name].rev + 1}
-	close(p.wake)
-	p.wake = make(chan struct{})
+	p.values[name] = value{raw: raw, revision: p.values[name].revision + 1}
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // SetDown makes every read fail, or work again.
@@ -71,10 +71,10 @@
 	p.Publish(mux.Vars(r)["name"], raw)
 }
 
-func (p *Platform) look(name string) (value, chan struct{}, bool) {
+func (p *Platform) lookup(name string) (value, chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.values[name], p.wake, p.down
+	return p.values[name], p.changed, p.down
 }
 
 // get answers at once with a value other than the one the reader has, or waits.
@@ -85,13 +85,13 @@
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	until := time.After(time.Duration(wait) * time.Second)
 	for {
-		v, wake, down := p.look(mux.Vars(r)["name"])
+		v, wake, down := p.lookup(mux.Vars(r)["name"])
 		if down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if v.rev > 0 && r.URL.Query().Get("after") != strconv.Itoa(v.rev) {
-			w.Header().Set("X-Revision", strconv.Itoa(v.rev))
+		if v.revision > 0 && r.URL.Query().Get("after") != strconv.Itoa(v.revision) {
+			w.Header().Set("X-Revision", strconv.Itoa(v.revision))
 			_, _ = w.Write(v.raw) // the reader may be gone
 			return
 		}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -54,19 +54,19 @@
 
 // gate turns new work away once the upstream is leaving, with proof that it did
 // not start.
-type gate struct {
+type leaveState struct {
 	mu      sync.Mutex
 	leaving bool
 }
 
-func (g *gate) leave(w http.ResponseWriter, _ *http.Request) {
+func (g *leaveState) leave(w http.ResponseWriter, _ *http.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaving = true
 	writeJSON(w, map[string]bool{"leaving": true})
 }
 
-func (g *gate) refuses(w http.ResponseWriter, r *http.Request) bool {
+func (g *leaveState) refuseIfLeaving(w http.ResponseWriter, r *http.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.leaving {
--- a/internal/tool/live.go
+++ b/internal/tool/live.go
@@ -24,7 +24,7 @@
 
 const statusTimeout = 3 * time.Second
 
-func status(c *context, args []string) error {
+func status(c *invocation, args []string) error {
 	asJSON := c.flags.Bool("json", false, "print the routers' views as JSON")
 	if err := c.flags.Parse(args); err != nil {
 		return err
@@ -124,7 +124,7 @@
 	}
 }
 
-func call(c *context, args []string) error {
+func call(c *invocation, args []string) error {
 	key := c.flags.String("key", "", "API `key`, or the environment variable SILVERSWITCH_KEY")
 	app := c.flags.String("app", "", "application")
 	path := c.flags.String("path", "/", "plain services: `path`")
@@ -164,7 +164,7 @@
 		return err
 	}
 	defer res.Body.Close()
-	return show(c.out, res)
+	return printResponse(c.out, res)
 }
 
 // newTraceID returns a W3C trace id, 32 hexadecimal digits.
@@ -198,9 +198,9 @@
 
 // show prints the outcome and the answer; a stream is whole only with its final
 // event.
-func show(out io.Writer, res *http.Response) error {
+func printResponse(out io.Writer, res *http.Response) error {
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
-		return showStream(out, res)
+		return printStream(out, res)
 	}
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-func showStream(out io.Writer, res *http.Response) error {
+func printStream(out io.Writer, res *http.Response) error {
 	r := bufio.NewReader(res.Body)
 	events := 0
 	for {
--- a/internal/tool/load_test.go
+++ b/internal/tool/load_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLoadCountsWhatCallersSee(t *testing.T) {
+func TestLoadCountsOutcomes(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
--- a/internal/tool/routed.go
+++ b/internal/tool/routedstatus.go
@@ -24,7 +24,7 @@
 	for _, v := range views {
 		fmt.Fprintf(w, "%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", v.Router, v.Ready, v.Version, v.Revision, len(v.Routers), v.Running, v.Counts.Placed, v.Counts.Refused, describeRole(v.Role))
 	}
-	printInUse(w, views)
+	printWorkingSets(w, views)
 	printEvacuated(w, views, now)
 	printCold(w, views)
 }
@@ -44,8 +44,8 @@
 	return cmp.Or(strings.Join(out, ", "), "-")
 }
 
-// printInUse prints how many upstreams of each service and place its scheduler uses.
-func printInUse(w io.Writer, views []process.Status) {
+// printWorkingSets prints how many upstreams of each service and place its scheduler uses.
+func printWorkingSets(w io.Writer, views []process.Status) {
 	type counts struct{ used, all int }
 	sets := map[string]counts{}
 	for _, v := range views {
@@ -74,7 +74,7 @@
 type evacuatedPlace struct {
 	revision uint64
 	since    time.Time // the earliest
-	heard    map[wire.NodeID]bool
+	knownBy  map[wire.NodeID]bool
 }
 
 func printEvacuated(w io.Writer, views []process.Status, now time.Time) {
@@ -83,11 +83,11 @@
 		for _, e := range v.Evacuated {
 			p := places[e.Place]
 			if p == nil {
-				p = &evacuatedPlace{since: e.Since, heard: map[wire.NodeID]bool{}}
+				p = &evacuatedPlace{since: e.Since, knownBy: map[wire.NodeID]bool{}}
 				places[e.Place] = p
 			}
 			p.revision = max(p.revision, e.Revision)
-			p.heard[v.Router] = true
+			p.knownBy[v.Router] = true
 			if e.Since.Before(p.since) {
 				p.since = e.Since
 			}
@@ -101,7 +101,7 @@
 		p := places[name]
 		var deaf []string
 		for _, v := range views {
-			if !p.heard[v.Router] {
+			if !p.knownBy[v.Router] {
 				deaf = append(deaf, string(v.Router))
 			}
 		}
--- a/internal/tool/routed_test.go
+++ b/internal/tool/routedstatus_test.go
@@ -49,7 +49,7 @@
 	assert.Contains(t, text, "llm p 1 3", "by its scheduler alone")
 }
 
-func TestStatusTellsTheInterfacesApart(t *testing.T) {
+func TestStatusDistinguishesInterfaces(t *testing.T) {
 	serve := func(body string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) }))
 		t.Cleanup(s.Close)
--- a/internal/tool/story.go
+++ b/internal/tool/timeline.go
@@ -16,7 +16,7 @@
 
 // around is how far before a request's first line and after its last one changes
 // of belief at its routers are shown: the time within which they matter for it.
-const around = 3 * time.Second
+const timelineMargin = 3 * time.Second
 
 // logLine is one structured line of a router.
 type logLine struct {
@@ -27,7 +27,7 @@
 }
 
 // explainRequest tells the story of one request from routers' logs.
-func explainRequest(c *context, args []string) error {
+func explainRequest(c *invocation, args []string) error {
 	if err := c.flags.Parse(args); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	story := storyOf(rest[0], lines)
+	story := timelineOf(rest[0], lines)
 	if len(story) == 0 {
 		return fmt.Errorf("request %s: no line in these logs; answered requests are logged by sample", rest[0])
 	}
@@ -93,9 +93,9 @@
 	return lines, s.Err()
 }
 
-// storyOf returns the lines of a request in order, with what its routers came to
+// timelineOf returns the lines of a request in order, with what its routers came to
 // believe of themselves, their peers and the request's upstreams around it.
-func storyOf(id string, lines []logLine) []string {
+func timelineOf(id string, lines []logLine) []string {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at.Before(lines[j].at) })
 	routers, upstreams, prints := map[string]bool{}, map[string]bool{}, map[any]bool{}
 	var first, last time.Time
@@ -121,14 +121,14 @@
 	var out []string
 	for _, l := range lines {
 		own := l.fields["request"] == id
-		if !own && !l.sameContent(prints, last) && !l.concerns(routers, upstreams, first, last) {
+		if !own && !l.sameContent(prints, last) && !l.mayExplain(routers, upstreams, first, last) {
 			continue
 		}
 		mark := " "
 		if own {
 			mark = "*"
 		}
-		out = append(out, fmt.Sprintf("%s %s %s %s%s", l.at.Format("15:04:05.000"), mark, l.router, l.message, l.rest(own)))
+		out = append(out, fmt.Sprintf("%s %s %s %s%s", l.at.Format("15:04:05.000"), mark, l.router, l.message, l.otherFields(own)))
 	}
 	return out
 }
@@ -145,18 +145,18 @@
 
 // concerns reports whether a line is a change of belief that may explain the
 // request: of one of its routers, near it in time.
-func (l logLine) concerns(routers, upstreams map[string]bool, first, last time.Time) bool {
+func (l logLine) mayExplain(routers, upstreams map[string]bool, first, last time.Time) bool {
 	if _, ofRequest := l.fields["request"]; ofRequest || !routers[l.router] || l.message == "lines-left-out" || l.fields[fieldFingerprint] != nil {
 		return false
 	}
 	if up, ok := l.fields["upstream"].(string); ok && !upstreams[up] {
 		return false
 	}
-	return !l.at.Before(first.Add(-around)) && !l.at.After(last.Add(around))
+	return !l.at.Before(first.Add(-timelineMargin)) && !l.at.After(last.Add(timelineMargin))
 }
 
 // rest prints the fields that are not shown elsewhere, sorted.
-func (l logLine) rest(own bool) string {
+func (l logLine) otherFields(own bool) string {
 	var names []string
 	for n := range l.fields {
 		switch n {
--- a/internal/tool/story_test.go
+++ b/internal/tool/timeline_test.go
@@ -29,7 +29,7 @@
 
 // Why a request is refused may have happened long before, at other routers, to another
 // try of it.
-func TestStoryTellsWhatOtherTriesDid(t *testing.T) {
+func TestTimelineIncludesOtherAttemptsOfSameContent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte(suspectLogs), 0o600))
 	code, out, _ := run("explain-request", "r1", path)
@@ -40,7 +40,7 @@
 `, out)
 }
 
-func TestStoryOfARequest(t *testing.T) {
+func TestTimelineOfRequest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte(routerLogs), 0o600))
 	code, out, _ := run("explain-request", "r1", path)
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -22,13 +22,13 @@
 
 // command is one verb of the tool.
 type command struct {
-	usage string
-	about string
-	run   func(c *context, args []string) error
+	usage   string
+	summary string
+	run     func(c *invocation, args []string) error
 }
 
 // context carries where a command writes.
-type context struct {
+type invocation struct {
 	out   io.Writer
 	flags *flag.FlagSet
 }
@@ -63,16 +63,16 @@
 		usage(errOut)
 		return ExitUsage
 	}
-	c := &context{out: out, flags: flag.NewFlagSet(args[0], flag.ContinueOnError)}
+	c := &invocation{out: out, flags: flag.NewFlagSet(args[0], flag.ContinueOnError)}
 	c.flags.SetOutput(errOut)
 	c.flags.Usage = func() {
-		fmt.Fprintf(errOut, "silverswitch %s\n  %s\n", cmd.usage, cmd.about)
+		fmt.Fprintf(errOut, "silverswitch %s\n  %s\n", cmd.usage, cmd.summary)
 		c.flags.PrintDefaults()
 	}
 	return exitCode(cmd.run(c, args[1:]), c, errOut)
 }
 
-func exitCode(err error, c *context, errOut io.Writer) int {
+func exitCode(err error, c *invocation, errOut io.Writer) int {
 	switch {
 	case err == nil, errors.Is(err, flag.ErrHelp):
 		return ExitOK
@@ -96,13 +96,13 @@
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		fmt.Fprintf(w, "  %-55s %s\n", commands[n].usage, commands[n].about)
+		fmt.Fprintf(w, "  %-55s %s\n", commands[n].usage, commands[n].summary)
 	}
 	fmt.Fprintln(w, "Exit codes: 0 done, 1 failed or refused, 2 wrong usage, 3 faults in templates or parameters.")
 }
 
 // parse reads flags and checks the number of arguments.
-func (c *context) parse(args []string, n int) ([]string, error) {
+func (c *invocation) parse(args []string, n int) ([]string, error) {
 	if err := c.flags.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return nil, err
@@ -116,10 +116,10 @@
 }
 
 // faulty marks an error as faults in templates or parameters.
-type faulty struct{ error }
+type faultsError struct{ error }
 
 // Faults makes faulty known to exitCode.
-func (faulty) Faults() int { return ExitFaults }
+func (faultsError) Faults() int { return ExitFaults }
 
 // loadDir packs and loads a directory as routers would.
 func loadDir(dir string, revision uint64) (*version.Version, []byte, error) {
@@ -129,16 +129,16 @@
 	}
 	raw, err := p.Encode()
 	if err != nil {
-		return nil, nil, faulty{err}
+		return nil, nil, faultsError{err}
 	}
 	v, err := version.Load(raw)
 	if err != nil {
-		return nil, nil, faulty{err}
+		return nil, nil, faultsError{err}
 	}
 	return v, raw, nil
 }
 
-func check(c *context, args []string) error {
+func check(c *invocation, args []string) error {
 	args, err := c.parse(args, 1)
 	if err != nil {
 		return err
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func pack(c *context, args []string) error {
+func pack(c *invocation, args []string) error {
 	rev := c.flags.Uint64("revision", 0, "the version's `number`, larger than the one in force")
 	args, err := c.parse(args, 1)
 	if err != nil {
@@ -169,7 +169,7 @@
 	return err
 }
 
-func render(c *context, args []string) error {
+func render(c *invocation, args []string) error {
 	args, err := c.parse(args, 2)
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 	return nil
 }
 
-func diff(c *context, args []string) error {
+func diff(c *invocation, args []string) error {
 	args, err := c.parse(args, 2)
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func explain(c *context, args []string) error {
+func explain(c *invocation, args []string) error {
 	place := c.flags.String("place", "", "the `place` of the router the request enters by")
 	args, err := c.parse(args, 3)
 	if err != nil {
@@ -216,7 +216,7 @@
 		return err
 	}
 	if *place != "" && v.Places[*place] == nil {
-		return faulty{fmt.Errorf("-place = %q: allowed: a place of %s", *place, version.FleetFile)}
+		return faultsError{fmt.Errorf("-place = %q: allowed: a place of %s", *place, version.FleetFile)}
 	}
 	for _, line := range v.Explain(args[1], args[2], *place) {
 		fmt.Fprintln(c.out, line)
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestCheckNamesTheFault(t *testing.T) {
+func TestCheckReportsFault(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(demoFleet)))
 	path := filepath.Join(dir, "organisations", "nishi.ini")
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestPackIsWhatRoutersLoad(t *testing.T) {
+func TestPackOutputIsLoadable(t *testing.T) {
 	code, out, _ := run("pack", "-revision", "7", demoFleet)
 	require.Equal(t, ExitOK, code)
 	v, err := version.Load([]byte(out))
