--- a/internal/tool/live.go
+++ b/internal/tool/live.go
@@ -22,6 +22,7 @@
 	"github.com/silverswitch/silverswitch/internal/request/stream"
 )
 
+// statusTimeout limits the request for one router's status.
 const statusTimeout = 3 * time.Second
 
 func status(c *invocation, args []string) error {
@@ -58,7 +59,8 @@
 	return failed
 }
 
-// readStatus reads a router's status and adds it to those of its interface.
+// readStatus fetches a router's status and appends it to views, for a router of the
+// application interface, or to routed, for one of the routed interface.
 func readStatus(base string, views *[]core.View, routed *[]process.Status) error {
 	client := &http.Client{Timeout: statusTimeout}
 	res, err := client.Get(strings.TrimSuffix(base, "/") + "/status")
@@ -131,7 +133,7 @@
 	body := c.flags.String("body", "", "plain services: the body; models: the user's message")
 	plain := c.flags.Bool("plain", false, "the application is a plain service")
 	streams := c.flags.Bool("stream", false, "models: stream the answer")
-	once := c.flags.String("idempotency-key", "", "a UUID version 7, or new for one made here")
+	idempotencyKey := c.flags.String("idempotency-key", "", "a UUID version 7, or new for one made here")
 	tokens := c.flags.Int("max-tokens", 0, "models: bound on the answer")
 	timeout := c.flags.Duration("timeout", time.Minute, "longest wait")
 	traced := c.flags.Bool("trace", false, "have the call traced, and print the trace's number")
@@ -148,11 +150,11 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+*key)
 	req.Header.Set("Request-Timeout", fmt.Sprintf("%g", timeout.Seconds()))
-	if *once == "new" {
-		*once = uuid.Must(uuid.NewV7()).String()
+	if *idempotencyKey == "new" {
+		*idempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
-	if *once != "" {
-		req.Header.Set("Idempotency-Key", *once)
+	if *idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", *idempotencyKey)
 	}
 	if *traced {
 		id := newTraceID()
@@ -173,6 +175,7 @@
 	return hex.EncodeToString(id[:])
 }
 
+// newCall builds a request to a plain service or, otherwise, a chat completion.
 func newCall(base, app, path, body string, plain, streams bool, tokens int) (*http.Request, error) {
 	if plain {
 		return http.NewRequest(http.MethodPost, base+"/v1/apps/"+app+path, strings.NewReader(body))
@@ -196,8 +199,8 @@
 	return req, err
 }
 
-// show prints the outcome and the answer; a stream is whole only with its final
-// event.
+// printResponse prints the outcome and the answer. A stream is complete only if its final
+// event was received.
 func printResponse(out io.Writer, res *http.Response) error {
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
 		return printStream(out, res)
@@ -214,6 +217,7 @@
 	return nil
 }
 
+// printStream prints the text of a stream's events, then its outcome.
 func printStream(out io.Writer, res *http.Response) error {
 	r := bufio.NewReader(res.Body)
 	events := 0
@@ -237,7 +241,7 @@
 			fmt.Fprint(out, chunk.Choices[0].Delta.Content)
 		}
 	}
-	_, err := io.Copy(io.Discard, res.Body) // the trailer follows
+	_, err := io.Copy(io.Discard, res.Body) // the trailer is read only after the body
 	fmt.Fprintf(out, "\nstatus %d, outcome %s, %d events\n", res.StatusCode, res.Trailer.Get(outcome.HeaderOutcome), events)
 	return err
 }
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	gocontext "context"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -22,7 +22,7 @@
 	"github.com/silverswitch/silverswitch/platform"
 )
 
-// loadPlan is what `silverswitch load` sends.
+// loadPlan describes the load that `silverswitch load` sends.
 type loadPlan struct {
 	routers        []string
 	host           string
@@ -31,22 +31,22 @@
 	rate           float64
 	duration       time.Duration
 	timeout        time.Duration
-	sharedTokens   int // tokens of the part that requests share
-	sharedVariants int // how many different shared parts
-	promptTokens   int // tokens of the part of its own, mean
+	sharedTokens   int // of the part of the prompt that requests share; 0 for none
+	sharedVariants int // number of different shared parts
+	promptTokens   int // of the part of the prompt that is the request's own, mean
 	outputTokens   int
 	dialect        forward.Dialect
 }
 
 const (
-	// maxRate and maxDuration bound the load.
+	// maxRate, in requests a second, and maxDuration bound the load.
 	maxRate     = 2000.0
 	maxDuration = 10 * time.Minute
-	// maxLatencySamples is how many latencies of each kind are kept.
+	// maxLatencySamples is the size of the random sample of each latency histogram.
 	maxLatencySamples = 100_000
 )
 
-// loadReport counts what callers saw.
+// loadReport collects the outcomes and latencies that callers saw.
 type loadReport struct {
 	mu          sync.Mutex
 	outcomes    map[string]int
@@ -76,7 +76,7 @@
 		return errUsage
 	}
 	if p.rate <= 0 || p.rate > maxRate || p.duration <= 0 || p.duration > maxDuration || p.sharedVariants < 1 {
-		return fmt.Errorf("-rate %g -for %s -things %d: more than 0, at most %g a second for %s, and one thing or more", p.rate, p.duration, p.sharedVariants, maxRate, maxDuration)
+		return fmt.Errorf("-rate %g -for %s -things %d: allowed: a rate above 0 and at most %g a second, a duration above 0 and at most %s, and at least 1 shared part", p.rate, p.duration, p.sharedVariants, maxRate, maxDuration)
 	}
 	r := p.sendAll()
 	r.print(c.out)
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// send sends requests at random moments, whether or not earlier ones have ended.
+// sendAll is an open loop: it sends requests at exponentially distributed intervals,
+// whether or not earlier ones have ended, and waits for all of them.
 func (p *loadPlan) sendAll() *loadReport {
 	r := &loadReport{outcomes: map[string]int{}, firstEvent: metrics.NewHistogram(metrics.NewUniformSample(maxLatencySamples)), wholeAnswer: metrics.NewHistogram(metrics.NewUniformSample(maxLatencySamples))}
 	client := &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: 200}}
@@ -99,26 +100,28 @@
 	return r
 }
 
-// one sends a request, and once more when it is told to come back.
+// sendWithRetry sends a request, and retries it once, at another router, when it is
+// refused.
 func (p *loadPlan) sendWithRetry(client *http.Client, r *loadReport) {
-	began := time.Now()
+	startedAt := time.Now()
 	prompt := p.prompt()
 	key := p.keys[rand.IntN(len(p.keys))]
 	for try := 0; ; try++ {
 		router := p.routers[(rand.IntN(len(p.routers))+try)%len(p.routers)]
-		end, after := p.attempt(client, r, router, key, prompt, began)
-		if end != "refused" || try > 0 {
-			r.count(end)
+		outcome, retryAfter := p.attempt(client, r, router, key, prompt, startedAt)
+		if outcome != "refused" || try > 0 {
+			r.count(outcome)
 			return
 		}
 		r.mu.Lock()
 		r.retried++
 		r.mu.Unlock()
-		time.Sleep(min(after, p.timeout/3))
+		time.Sleep(min(retryAfter, p.timeout/3))
 	}
 }
 
-// parts is the prompt's list of parts, and its tokens.
+// prompt draws a prompt and returns the values of two headers: its list of parts, and its
+// numbers of prompt and answer tokens.
 func (p *loadPlan) prompt() [2]string {
 	own := 1 + int(float64(p.promptTokens)*rand.ExpFloat64())
 	list := fmt.Sprintf("%x:%d", rand.Uint64(), own)
@@ -128,9 +131,10 @@
 	return [2]string{list, fmt.Sprintf("%d,%d", p.sharedTokens+own, p.outputTokens)}
 }
 
-func (p *loadPlan) attempt(client *http.Client, r *loadReport, router, key string, parts [2]string, began time.Time) (end string, after time.Duration) {
-	ctx, stop := gocontext.WithTimeout(gocontext.Background(), p.timeout)
-	defer stop()
+// attempt sends a request once and returns its outcome, and the Retry-After of a refusal.
+func (p *loadPlan) attempt(client *http.Client, r *loadReport, router, key string, prompt [2]string, startedAt time.Time) (outcome string, retryAfter time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), p.timeout)
+	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, strings.TrimSuffix(router, "/")+p.path, strings.NewReader("load"))
 	if err != nil {
 		return "not sent: " + err.Error(), 0
@@ -139,8 +143,8 @@
 	h := req.Header
 	h.Set(p.dialect.RequestID, uuid.NewString())
 	h.Set(p.dialect.Deadline, strconv.FormatInt(p.timeout.Milliseconds(), 10))
-	h.Set(p.dialect.PromptParts, parts[0])
-	h.Set(p.dialect.TokenUsage, parts[1])
+	h.Set(p.dialect.PromptParts, prompt[0])
+	h.Set(p.dialect.TokenUsage, prompt[1])
 	if key != "" {
 		h.Set("Authorization", "Bearer "+key)
 	}
@@ -150,24 +154,24 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusServiceUnavailable {
-		_, _ = io.Copy(io.Discard, res.Body) // the status says it all
+		_, _ = io.Copy(io.Discard, res.Body) // the status says all that is needed
 		s, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 		return "refused", time.Duration(s * float64(time.Second))
 	}
 	if res.StatusCode != http.StatusOK {
 		return "status " + strconv.Itoa(res.StatusCode), 0
 	}
-	return r.readStream(res, began), 0
+	return r.readStream(res, startedAt), 0
 }
 
-// read takes an answer's events.
-func (r *loadReport) readStream(res *http.Response, began time.Time) string {
+// readStream reads an answer's events, records its latencies and returns its outcome.
+func (r *loadReport) readStream(res *http.Response, startedAt time.Time) string {
 	br := bufio.NewReader(res.Body)
 	var buf []byte
 	for n := 0; ; n++ {
 		e, err := stream.Read(br, buf)
 		if errors.Is(err, io.EOF) {
-			r.wholeAnswer.Update(time.Since(began).Milliseconds())
+			r.wholeAnswer.Update(time.Since(startedAt).Milliseconds())
 			return "answered"
 		}
 		if err != nil {
@@ -175,22 +179,22 @@
 		}
 		buf = e.Raw
 		if n == 0 {
-			r.firstEvent.Update(time.Since(began).Milliseconds())
+			r.firstEvent.Update(time.Since(startedAt).Milliseconds())
 		}
 	}
 }
 
-func (r *loadReport) count(end string) {
+func (r *loadReport) count(outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes[end]++
+	r.outcomes[outcome]++
 }
 
 func (r *loadReport) print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	for end, n := range r.outcomes {
-		fmt.Fprintf(w, "%s\t%d\n", end, n)
+	for outcome, n := range r.outcomes {
+		fmt.Fprintf(w, "%s\t%d\n", outcome, n)
 	}
 	fmt.Fprintf(w, "refused and sent again\t%d\n", r.retried)
 	for name, h := range map[string]metrics.Histogram{"first event": r.firstEvent, "whole answer": r.wholeAnswer} {
--- a/internal/tool/routedstatus.go
+++ b/internal/tool/routedstatus.go
@@ -15,8 +15,8 @@
 )
 
 // printRouted prints the status of routers of the routed interface: each router, then the
-// working set of each service, the places that are evacuated and the upstreams that are cold
-// by any of them.
+// working set of each service, and the evacuated places and cold upstreams that any of the
+// routers reports.
 func printRouted(out io.Writer, views []process.Status, now time.Time) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
@@ -29,7 +29,7 @@
 	printCold(w, views)
 }
 
-// describeRole names what a router does for others.
+// describeRole lists what a router does for the fleet.
 func describeRole(r dispatch.Role) string {
 	var out []string
 	if r.ReadsStore {
@@ -44,7 +44,8 @@
 	return cmp.Or(strings.Join(out, ", "), "-")
 }
 
-// printWorkingSets prints how many upstreams of each service and place its scheduler uses.
+// printWorkingSets prints how many upstreams of each service and place are in the working
+// set, as reported by the service's scheduler.
 func printWorkingSets(w io.Writer, views []process.Status) {
 	type counts struct{ used, all int }
 	sets := map[string]counts{}
@@ -70,13 +71,14 @@
 	}
 }
 
-// evacuatedPlace is a place as some routers see it.
+// evacuatedPlace is an evacuated place as the routers report it.
 type evacuatedPlace struct {
 	revision uint64
-	since    time.Time // the earliest
+	since    time.Time // the earliest that a router reports
 	knownBy  map[wire.NodeID]bool
 }
 
+// printEvacuated prints the evacuated places, and the routers that don't know of each yet.
 func printEvacuated(w io.Writer, views []process.Status, now time.Time) {
 	places := map[string]*evacuatedPlace{}
 	for _, v := range views {
@@ -99,18 +101,18 @@
 	fmt.Fprintln(w, "\nEVACUATED\tREVISION\tSINCE\tNOT HEARD BY")
 	for _, name := range sortedKeys(places) {
 		p := places[name]
-		var deaf []string
+		var missing []string
 		for _, v := range views {
 			if !p.knownBy[v.Router] {
-				deaf = append(deaf, string(v.Router))
+				missing = append(missing, string(v.Router))
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, p.revision, now.Sub(p.since).Round(time.Second), cmp.Or(strings.Join(deaf, " "), "-"))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, p.revision, now.Sub(p.since).Round(time.Second), cmp.Or(strings.Join(missing, " "), "-"))
 	}
 }
 
-// printCold prints each cold upstream as the router sees it that may place there, or else
-// any other.
+// printCold prints the cold upstreams. Each is shown as reported by the router that may place
+// most requests there.
 func printCold(w io.Writer, views []process.Status) {
 	cold := map[string]dispatch.UpstreamState{}
 	for _, v := range views {
--- a/internal/tool/timeline.go
+++ b/internal/tool/timeline.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// maxLogLine is the longest log line read, in bytes.
+// maxLogLineBytes is the longest log line read.
 const maxLogLine = 1 << 20
 
-// around is how far before a request's first line and after its last one changes
-// of belief at its routers are shown: the time within which they matter for it.
+// timelineMargin is how long before a request's first line and after its last one state
+// changes at its routers are shown: within this time they may have affected the request.
 const timelineMargin = 3 * time.Second
 
-// logLine is one structured line of a router.
+// logLine is one structured log line of a router.
 type logLine struct {
 	at      time.Time
 	router  string
@@ -26,30 +26,31 @@
 	fields  map[string]any
 }
 
-// explainRequest tells the story of one request from routers' logs.
+// explainRequest prints the timeline of a request, assembled from the logs of several
+// routers.
 func explainRequest(c *invocation, args []string) error {
 	if err := c.flags.Parse(args); err != nil {
 		return err
 	}
-	rest := c.flags.Args()
-	if len(rest) == 0 {
+	operands := c.flags.Args()
+	if len(operands) == 0 {
 		return errUsage
 	}
-	lines, err := readLogs(rest[1:])
+	lines, err := readLogs(operands[1:])
 	if err != nil {
 		return err
 	}
-	story := timelineOf(rest[0], lines)
-	if len(story) == 0 {
-		return fmt.Errorf("request %s: no line in these logs; answered requests are logged by sample", rest[0])
+	timeline := timelineOf(operands[0], lines)
+	if len(timeline) == 0 {
+		return fmt.Errorf("request %s: no line in these logs; answered requests are logged by sample", operands[0])
 	}
-	for _, l := range story {
+	for _, l := range timeline {
 		fmt.Fprintln(c.out, l)
 	}
 	return nil
 }
 
-// readLogs reads files, or standard input when there are none.
+// readLogs reads the given files, or standard input when there are none.
 func readLogs(paths []string) ([]logLine, error) {
 	if len(paths) == 0 {
 		return readLog(os.Stdin, nil)
@@ -69,8 +70,8 @@
 	return lines, nil
 }
 
-// readLog appends the structured lines of a reader; whatever stands before the
-// first brace of a line, and lines without one, is passed over.
+// readLog appends the structured lines of a reader. Text before the first brace of a line
+// is skipped, and so are lines without valid JSON.
 func readLog(r io.Reader, lines []logLine) ([]logLine, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLogLine)
@@ -93,11 +94,12 @@
 	return lines, s.Err()
 }
 
-// timelineOf returns the lines of a request in order, with what its routers came to
-// believe of themselves, their peers and the request's upstreams around it.
+// timelineOf returns the log lines of a request in order of time, together with the lines
+// of other attempts with the same content and the state changes of its routers, their
+// peers and the request's upstreams around it. A star marks the request's own lines.
 func timelineOf(id string, lines []logLine) []string {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at.Before(lines[j].at) })
-	routers, upstreams, prints := map[string]bool{}, map[string]bool{}, map[any]bool{}
+	routers, upstreams, fingerprints := map[string]bool{}, map[string]bool{}, map[any]bool{}
 	var first, last time.Time
 	for _, l := range lines {
 		if l.fields["request"] != id {
@@ -112,7 +114,7 @@
 			upstreams[up] = true
 		}
 		if print, ok := l.fields[fieldFingerprint]; ok {
-			prints[print] = true
+			fingerprints[print] = true
 		}
 	}
 	if len(routers) == 0 {
@@ -121,7 +123,7 @@
 	var out []string
 	for _, l := range lines {
 		own := l.fields["request"] == id
-		if !own && !l.sameContent(prints, last) && !l.mayExplain(routers, upstreams, first, last) {
+		if !own && !l.sameContent(fingerprints, last) && !l.mayExplain(routers, upstreams, first, last) {
 			continue
 		}
 		mark := " "
@@ -133,18 +135,19 @@
 	return out
 }
 
-// fieldFingerprint names the content of a request.
+// fieldFingerprint is the log key for the fingerprint of a request's content.
 const fieldFingerprint = "fingerprint"
 
 // sameContent reports whether a line, of any router and any time until the request's end,
-// is about a request of the same content: another try of it, or that it is suspected to
-// crash upstreams.
-func (l logLine) sameContent(prints map[any]bool, last time.Time) bool {
-	return prints[l.fields[fieldFingerprint]] && !l.at.After(last)
+// is about a request with the same content: another attempt, or the suspicion that the
+// content crashes upstreams.
+func (l logLine) sameContent(fingerprints map[any]bool, last time.Time) bool {
+	return fingerprints[l.fields[fieldFingerprint]] && !l.at.After(last)
 }
 
-// concerns reports whether a line is a change of belief that may explain the
-// request: of one of its routers, near it in time.
+// mayExplain reports whether a line is a state change that may explain what happened to
+// the request: at one of its routers, about one of its upstreams or none, and near it in
+// time.
 func (l logLine) mayExplain(routers, upstreams map[string]bool, first, last time.Time) bool {
 	if _, ofRequest := l.fields["request"]; ofRequest || !routers[l.router] || l.message == "lines-left-out" || l.fields[fieldFingerprint] != nil {
 		return false
@@ -155,7 +158,7 @@
 	return !l.at.Before(first.Add(-timelineMargin)) && !l.at.After(last.Add(timelineMargin))
 }
 
-// rest prints the fields that are not shown elsewhere, sorted.
+// otherFields formats the fields that are not shown in other columns, sorted by name.
 func (l logLine) otherFields(own bool) string {
 	var names []string
 	for n := range l.fields {
--- a/internal/tool/timeline_test.go
+++ b/internal/tool/timeline_test.go
@@ -27,8 +27,8 @@
 {"level":"info","router":"a","time":"2026-01-01T00:02:00.200Z","request":"r2","fingerprint":"00ff","crashes":3,"status":503,"reason":"crashes-upstreams","message":"request-failed"}
 `
 
-// Why a request is refused may have happened long before, at other routers, to another
-// try of it.
+// The cause of a refusal may lie long before the request: another attempt with the same
+// content that crashed an upstream at another router.
 func TestTimelineIncludesOtherAttemptsOfSameContent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte(suspectLogs), 0o600))
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,4 +1,4 @@
-// Package tool is the operators' command line, silverswitch.
+// Package tool implements silverswitch, the operators' command line.
 package tool
 
 import (
@@ -20,20 +20,20 @@
 	ExitFaults = 3 // the templates or parameters have faults
 )
 
-// command is one verb of the tool.
+// command is a subcommand of the tool.
 type command struct {
 	usage   string
 	summary string
 	run     func(c *invocation, args []string) error
 }
 
-// context carries where a command writes.
+// invocation holds the output and the flags of one run of a command.
 type invocation struct {
 	out   io.Writer
 	flags *flag.FlagSet
 }
 
-// errUsage asks for the command's help and ExitUsage.
+// errUsage makes Main print the command's help and return ExitUsage.
 var errUsage = errors.New("usage")
 
 var commands = map[string]command{
@@ -72,6 +72,7 @@
 	return exitCode(cmd.run(c, args[1:]), c, errOut)
 }
 
+// exitCode prints an error and returns the exit code for it.
 func exitCode(err error, c *invocation, errOut io.Writer) int {
 	switch {
 	case err == nil, errors.Is(err, flag.ErrHelp):
@@ -101,7 +102,7 @@
 	fmt.Fprintln(w, "Exit codes: 0 done, 1 failed or refused, 2 wrong usage, 3 faults in templates or parameters.")
 }
 
-// parse reads flags and checks the number of arguments.
+// parse parses the flags and returns the arguments, of which there must be n.
 func (c *invocation) parse(args []string, n int) ([]string, error) {
 	if err := c.flags.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -115,13 +116,14 @@
 	return c.flags.Args(), nil
 }
 
-// faulty marks an error as faults in templates or parameters.
+// faultsError is an error in templates or parameters, for which the tool exits with
+// ExitFaults.
 type faultsError struct{ error }
 
-// Faults makes faulty known to exitCode.
+// Faults is the method by which exitCode recognises a faultsError.
 func (faultsError) Faults() int { return ExitFaults }
 
-// loadDir packs and loads a directory as routers would.
+// loadDir packs a directory and loads the result, as routers do.
 func loadDir(dir string, revision uint64) (*version.Version, []byte, error) {
 	p, err := version.PackDir(os.DirFS(dir), revision)
 	if err != nil {
