--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,7 +1,7 @@
-// Command bench measures the fairness gap, the slots used while work waits, and
-// the control traffic, for the chosen way and its baselines under each fault. It
-// runs the decision core with time by argument, so its figures do not depend on
-// the machine.
+// Command bench measures the fairness gap, the utilisation of slots while requests wait,
+// and the control traffic, for the router's scheduling strategy and its baselines under
+// each fault. The decision core takes the time as an argument, so the results do not depend
+// on the machine.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// row is the worst of one way, fault and unit over the seeds.
+// row holds the worst results of a strategy, fault and unit over all seeds.
 type row struct {
 	Strategy    string       `json:"way"`
 	Fault       lab.Fault    `json:"fault"`
@@ -41,18 +41,18 @@
 	}
 }
 
-// slotTable prints the application interface's table.
+// slotTable prints the table of the application interface.
 func slotTable(seeds int, asJSON bool) {
 	var rows []*row
 	var work []func()
 	var mu sync.Mutex
 	for _, unit := range []version.Unit{version.UnitTokens, version.UnitAnswered} {
 		for _, fault := range lab.Faults {
-			for _, way := range lab.Strategies(lab.Routers) {
-				r := &row{Strategy: way.Name, Fault: fault, Unit: unit, Utilisation: 1}
+			for _, strategy := range lab.Strategies(lab.Routers) {
+				r := &row{Strategy: strategy.Name, Fault: fault, Unit: unit, Utilisation: 1}
 				rows = append(rows, r)
 				for seed := 1; seed <= seeds; seed++ {
-					s := lab.Scenario{Strategy: way, Fault: fault, Unit: unit, Seed: uint64(seed)}
+					s := lab.Scenario{Strategy: strategy, Fault: fault, Unit: unit, Seed: uint64(seed)}
 					work = append(work, func() {
 						res := s.Run()
 						mu.Lock()
@@ -67,6 +67,7 @@
 	printRows(rows, asJSON)
 }
 
+// keepWorst merges a result into the row.
 func (r *row) keepWorst(s lab.Result) {
 	r.Gap = max(r.Gap, s.Gap)
 	r.Utilisation = min(r.Utilisation, s.Utilisation)
@@ -75,6 +76,7 @@
 	r.Strays += s.Strays
 }
 
+// runParallel runs all functions, on half of the cores at once.
 func runParallel(work []func()) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
@@ -90,6 +92,7 @@
 	wg.Wait()
 }
 
+// printRows prints the rows as a Markdown table or as JSON.
 func printRows(rows []*row, asJSON bool) {
 	if asJSON {
 		enc := json.NewEncoder(os.Stdout)
--- a/cmd/bench/tokens.go
+++ b/cmd/bench/tokens.go
@@ -10,10 +10,10 @@
 	"github.com/silverswitch/silverswitch/internal/lab/tokens"
 )
 
-// tokenRunDuration is how long callers send in one run of the tokens' table.
+// tokenRunDuration is how long callers send requests in one run.
 const tokenRunDuration = 40 * time.Second
 
-// ablation is the chosen way with one mechanism left out.
+// ablation is the router with one mechanism left out.
 type ablation struct {
 	name    string
 	without dispatch.Without
@@ -30,7 +30,8 @@
 	{"without learning the engines' times", dispatch.Without{Learning: true}},
 }
 
-// tokenTable prints who is served, with each mechanism and without it.
+// tokenTable prints the table of the routed interface: for each scenario, the results with
+// all mechanisms and without each one.
 func tokenTable(seeds int) {
 	fmt.Println("\n| scenario | way | owed, served in time | worst organisation | served beyond what is owed | engines reading | late | refused | shared tokens read again | fetched | control B/s a router | first event predicted ms (50, 90, 99 in 100) | seen |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|")
@@ -40,25 +41,26 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	lines := make([]string, len(names)*len(ablations))
+	rows := make([]string, len(names)*len(ablations))
 	var work []func()
 	for i, name := range names {
 		for j, a := range ablations {
 			work = append(work, func() {
 				s := scenarios[name]
 				s.Without = a.without
-				lines[i*len(ablations)+j] = tokenLine(name, a.name, s, seeds)
+				rows[i*len(ablations)+j] = tokenLine(name, a.name, s, seeds)
 			})
 		}
 	}
 	runParallel(work)
-	for _, l := range lines {
-		fmt.Println(l)
+	for _, row := range rows {
+		fmt.Println(row)
 	}
 }
 
-// tokenLine is the mean over seeds, and the worst for the worst organisation.
-func tokenLine(scenario, way string, s tokens.Scenario, seeds int) string {
+// tokenLine returns a row of the table: means over the seeds, except for the worst
+// organisation, which is the minimum.
+func tokenLine(scenario, ablation string, s tokens.Scenario, seeds int) string {
 	var sum tokens.Result
 	sum.Least = 1
 	for seed := 1; seed <= seeds; seed++ {
@@ -84,7 +86,7 @@
 		}
 	}
 	n := float64(seeds)
-	return fmt.Sprintf("| %s | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %d | %d | %.0f | %.0f, %.0f, %.0f | %.0f, %.0f, %.0f |", scenario, way, sum.Owed/n, sum.Least, sum.Beyond/n, sum.Busy/n,
+	return fmt.Sprintf("| %s | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %d | %d | %.0f | %.0f, %.0f, %.0f | %.0f, %.0f, %.0f |", scenario, ablation, sum.Owed/n, sum.Least, sum.Beyond/n, sum.Busy/n,
 		float64(sum.Late)/float64(sum.Asked), float64(sum.Refused)/float64(sum.Asked), sum.ReadAgain/seeds, sum.Fetched/seeds, sum.Control/n,
 		sum.Predicted[0], sum.Predicted[1], sum.Predicted[2], sum.Seen[0], sum.Seen[1], sum.Seen[2])
 }
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,6 @@
-// Command capacity measures what a router spends on control at several sizes, one
-// slope at a time, by driving many decision cores in one process.
+// Command capacity measures what a router spends on control traffic, CPU and memory as the
+// fleet grows, by driving many decision cores in one process. Each slope varies one
+// dimension of the fleet.
 package main
 
 import (
@@ -12,24 +13,27 @@
 	"github.com/silverswitch/silverswitch/internal/lab"
 )
 
-// slope is a series of sizes in which one thing grows.
+// slope is a series of sizes in which one dimension grows.
 type slope struct {
 	Name  string
 	Sizes []lab.Size
 }
 
-// engines, organisations and requests for each node, of the planned size.
+// Ratios of the planned fleet.
 const (
 	enginesPerNode  = 1600.0 / 360
 	orgsPerNode     = 390.0 / 360
-	requestsPerNode = 3.9 // requests/s by one node; the backlogged bring it to 4.7
+	requestsPerNode = 3.9 // requests/s by one node; backlogged organisations bring it to 4.7
 )
 
+// planned returns the planned fleet scaled to a number of nodes.
 func planned(nodes int) lab.Size {
 	orgs := max(10, int(orgsPerNode*float64(nodes)))
 	return lab.Size{Nodes: nodes, Engines: max(44, int(enginesPerNode*float64(nodes))), Orgs: orgs, Backlogged: orgs / 10, PerNode: requestsPerNode, Seconds: 30}
 }
 
+// slopes returns the slopes to measure. Those over the number of nodes contain only sizes
+// from smallest to largest.
 func slopes(smallest, largest int) []slope {
 	var idle, busy, backlog, rate, orgs slope
 	idle.Name, busy.Name = "nodes, no requests", "nodes, all else in proportion"
@@ -78,7 +82,7 @@
 		for _, size := range s.Sizes {
 			c := size.Measure()
 			if *asJSON {
-				_ = enc.Encode(c) // standard output
+				_ = enc.Encode(c) // nothing can be done about an error of standard output
 				continue
 			}
 			fmt.Printf("| %d | %d | %d | %d | %.0f | %d | %d | %.0f | %.0f | %.1f | %.2f | %.2f |\n", c.Nodes, c.Engines, c.Orgs, c.Backlogged,
--- a/cmd/guards/main.go
+++ b/cmd/guards/main.go
@@ -1,6 +1,6 @@
-// Command guards shows that the proofs can fail: it takes one guard out of a copy
-// of the code at a time and runs the test that names it, which must fail. A guard
-// whose test still passes, or whose code has moved, is an error.
+// Command guards is a mutation test of listed guards. For each guard it replaces the
+// guard's code in a copy of the module and runs the test that covers it, which must fail.
+// It is an error if the test still passes, or if the guard's code is not found.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"strings"
 )
 
-// guard is one entry of the list.
+// guard is one entry of the list: code to replace, and the test that must then fail.
 type guard struct {
 	name        string
 	file        string
@@ -50,7 +50,8 @@
 	}
 }
 
-// read parses the list: blocks of "key: value" lines, a blank line after each.
+// read parses the list: blocks of "key: value" lines, separated by blank lines, with lines
+// that begin with # as comments.
 func read(path string) ([]guard, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +83,8 @@
 	return out, s.Err()
 }
 
-// try runs one test without its guard and expects it to fail.
+// runWithout runs a guard's test on a copy of the module without the guard, and returns an
+// error unless the test fails.
 func runWithout(g guard) error {
 	dir, err := os.MkdirTemp("", "guard")
 	if err != nil {
@@ -98,7 +100,7 @@
 		return err
 	}
 	if bytes.Count(raw, []byte(g.original)) != 1 {
-		return fmt.Errorf("%s: the guard %q is not there once", g.file, g.original)
+		return fmt.Errorf("%s: the guarded code %q must occur exactly once", g.file, g.original)
 	}
 	if err := os.WriteFile(path, bytes.Replace(raw, []byte(g.original), []byte(g.replacement), 1), 0o644); err != nil {
 		return err
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// reason finds the line that says what failed.
+// failureLine returns the line of a test's output that says what failed.
 func failureLine(out []byte) string {
 	for _, line := range strings.Split(string(out), "\n") {
 		text := strings.TrimSpace(line)
@@ -130,7 +132,7 @@
 	return "see the test"
 }
 
-// copyTree copies what the tests need.
+// copyTree copies the parts of the module that the tests need.
 func copyTree(to string) error {
 	for _, root := range []string{"internal", "cmd", "platform", "go.mod", "go.sum"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/cmd/silverswitchd/main.go
+++ b/cmd/silverswitchd/main.go
@@ -18,7 +18,7 @@
 	"github.com/silverswitch/silverswitch/platform"
 )
 
-// Exit codes.
+// Exit codes of the process.
 const (
 	exitOK          = 0
 	exitFailed      = 1
@@ -30,6 +30,7 @@
 	os.Exit(run())
 }
 
+// run parses the flags, and serves until the process is told to stop.
 func run() int {
 	path := flag.String("settings", "silverswitchd.ini", "settings `file`")
 	check := flag.String("check", "", "check a settings `file`, and end")
@@ -54,6 +55,7 @@
 	return serve(*path, set)
 }
 
+// serve runs a router with the given settings, which it reloads from path on SIGHUP.
 func serve(path string, set process.Settings) int {
 	level, err := zerolog.ParseLevel(set.LogLevel)
 	if err != nil {
@@ -78,13 +80,14 @@
 	return stop(d, signals, log)
 }
 
-// daemon is a router process of either interface.
+// daemon is a router of the application interface or of the routed interface.
 type daemon interface {
 	Shutdown(context.Context) int
 	Open(time.Duration) int
 	Reload(process.Settings)
 }
 
+// start starts the router of the interface that the settings select.
 func start(set process.Settings, log zerolog.Logger) (daemon, error) {
 	if set.Kind == process.KindStore {
 		return process.StartRouted(set, platform.Deployment(set.Platform), log)
@@ -92,23 +95,25 @@
 	return process.Start(set, log)
 }
 
-// logTimeFormat is the format of a line's time: to the millisecond, so that lines of
-// several routers can be put in order.
+// logTimeFormat has milliseconds, so that log lines of several routers can be sorted by
+// time.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// logBufferLines is how many lines wait for a slow standard output; more are dropped
-// and counted, so that logging never blocks a request.
+// logBufferLines is the number of lines buffered for a slow standard output. Further lines
+// are dropped and counted, so that logging never blocks a request.
 const logBufferLines = 4096
 
-// logWriter writes lines to standard output without ever blocking.
+// logWriter returns a writer to standard output that never blocks, and a function that
+// flushes and closes it.
 func logWriter() (io.Writer, func()) {
 	w := diode.NewWriter(os.Stdout, logBufferLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "{\"message\":\"log-lines-dropped\",\"lines\":%d}\n", missed)
 	})
-	return w, func() { _ = w.Close() } // standard output has nothing to tell
+	return w, func() { _ = w.Close() } // nothing can be done about an error of standard output
 }
 
-// stop ends gracefully; a second signal ends at once.
+// stop shuts the router down gracefully; a second signal ends the process at once. The exit
+// code says whether requests were cut.
 func stop(d daemon, signals <-chan os.Signal, log zerolog.Logger) int {
 	ended := make(chan int, 1)
 	go func() { ended <- d.Shutdown(context.Background()) }()
--- a/cmd/silverswitchd/process_test.go
+++ b/cmd/silverswitchd/process_test.go
@@ -26,8 +26,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// The tests here run real processes on loopback, kill, stop and freeze them, and
-// check safety and the eventual outcome, never a time.
+// These tests run real processes on loopback, kill, stop and freeze them, and check safety
+// and the eventual outcome, never durations.
 
 var daemonPath, standinPath string
 
@@ -47,12 +47,14 @@
 	os.Exit(code)
 }
 
+// router is one router process.
 type router struct {
 	peer, place, callers, operator string
 	settings                       string
 	cmd                            *exec.Cmd
 }
 
+// fleet is a fleet of router processes with its upstreams and platform.
 type fleet struct {
 	t        *testing.T
 	platform string
@@ -64,6 +66,7 @@
 	details []string
 }
 
+// run starts a process that is killed at the end of the test.
 func (f *fleet) run(path string, args ...string) *exec.Cmd {
 	cmd := exec.Command(path, args...)
 	require.NoError(f.t, cmd.Start())
@@ -74,6 +77,7 @@
 	return cmd
 }
 
+// standin starts a stand-in and returns its address once it accepts connections.
 func (f *fleet) standin(args ...string) string {
 	addr := standin.FreeAddr()
 	f.run(standinPath, append([]string{"-listen", addr}, args...)...)
@@ -87,6 +91,8 @@
 	return addr
 }
 
+// newFleet starts a fleet with two engines and a plain service, and waits until every
+// router is ready.
 func newFleet(t *testing.T, routers, slots int, gap time.Duration) *fleet {
 	f := &fleet{t: t}
 	f.platform = f.standin("-kind", "platform")
@@ -118,6 +124,7 @@
 	return f
 }
 
+// publish publishes the configuration, with the given slots for each engine.
 func (f *fleet) publish(slots int) {
 	fleetText := "[place p0]\nregion = r\n[place p1]\nregion = r\n[service model]\n[service counter]\nkind = plain\n"
 	for i, a := range f.engines {
@@ -128,11 +135,12 @@
 		version.FleetFile:     fleetText,
 		"templates/t.ini":     "[template]\nname = t\n[organisation]\nplaces = p0, p1\nqueue_limit = 5000\n[application chat]\nservice = model\nidempotent = true\ntimeout = 60s\n[application order]\nservice = counter\nunit = answered\ntimeout = 10s\n",
 		"organisations/o.ini": "[organisation]\nname = o\ntemplate = t\nkey_sha256 = 2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683\n",
-	}}.Encode() // the hash is of the word "key"
+	}}.Encode() // the hash is of the API key "key"
 	require.NoError(f.t, err)
 	f.put(process.ValueConfiguration, raw)
 }
 
+// put publishes a value at the platform.
 func (f *fleet) put(name string, raw []byte) {
 	req, err := http.NewRequest(http.MethodPut, "http://"+f.platform+"/v1/values/"+name, strings.NewReader(string(raw)))
 	require.NoError(f.t, err)
@@ -141,6 +149,7 @@
 	res.Body.Close()
 }
 
+// boot starts a router process, or starts it again with the same settings.
 func (f *fleet) boot(r *router, peers []string) {
 	if r.settings == "" {
 		r.settings = filepath.Join(f.t.TempDir(), "r.ini")
@@ -151,7 +160,7 @@
 	r.cmd = f.run(daemonPath, "-settings", r.settings)
 }
 
-// ready waits until the router is ready and sees the fleet alive.
+// waitReady waits until the router is ready and reports all other routers alive.
 func (f *fleet) waitReady(r *router, routers int) {
 	var last string
 	ok := func() bool {
@@ -174,7 +183,8 @@
 	require.Fail(f.t, "router is not ready", "%s", last)
 }
 
-// order sends an order with a key and returns its outcome header, or "broken".
+// order sends an order with an idempotency key and returns its outcome header, or
+// "broken" when the answer is incomplete.
 func (f *fleet) order(r *router, key string) string {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+r.callers+"/v1/apps/order/orders", strings.NewReader(`{}`))
 	req.Header.Set("Authorization", "Bearer key")
@@ -190,8 +200,8 @@
 	return res.Header.Get("Silverswitch-Outcome")
 }
 
-// stream reads one stream and returns its events, and whether it ended whole.
-// What it was instead is kept for the failure's message.
+// stream requests a stream, and returns its number of events and whether it was complete.
+// Details of an incomplete one are kept for the failure message.
 func (f *fleet) stream(r *router, tokens int) (int, bool) {
 	n, whole, details := f.readStream(r, tokens)
 	if !whole {
@@ -202,6 +212,8 @@
 	return n, whole
 }
 
+// readStream requests a stream, and returns its number of events, whether it was complete,
+// and details of the response.
 func (f *fleet) readStream(r *router, tokens int) (int, bool, string) {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, tokens)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+r.callers+"/v1/chat/completions", strings.NewReader(body))
@@ -223,7 +235,7 @@
 	return n, done && s.Err() == nil, fmt.Sprint(res.Status, res.Header, s.Err())
 }
 
-// runs counts how often each key ran at the plain service.
+// runsByKey returns how often the plain service ran a request with each idempotency key.
 func (f *fleet) runsByKey() map[string]int {
 	res, err := http.Get("http://" + f.counter + "/journal")
 	require.NoError(f.t, err)
@@ -237,28 +249,28 @@
 	return out
 }
 
-// Callers keep sending orders, each key through several routers, while routers
-// are killed, frozen, woken and started again. No key runs twice, none that was
-// told not-run at its only or last word ran, and every answered one ran.
+// Callers send orders, each key through several routers, while routers are killed, frozen,
+// thawed and restarted. No key may run twice, no key whose last outcome was not-run may
+// have run, and every answered key must have run.
 func TestOrdersUnderKillsAndFreezes(t *testing.T) {
 	f := newFleet(t, 5, 8, time.Millisecond)
-	time.Sleep(5500 * time.Millisecond) // witnesses vouch for keys minted 5 s after their start
+	time.Sleep(5500 * time.Millisecond) // witnesses vote only on keys minted at least 5 s after they started
 	var mu sync.Mutex
-	words := map[string][]string{}
+	outcomes := map[string][]string{}
 	var wg sync.WaitGroup
-	var over atomic.Bool
+	var done atomic.Bool
 	for c := range 10 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for i := 0; !over.Load(); i++ {
+			for i := 0; !done.Load(); i++ {
 				key := uuid.Must(uuid.NewV7()).String()
 				for try := range 3 {
-					word := f.order(f.routers[(c+i+try)%5], key)
+					outcome := f.order(f.routers[(c+i+try)%5], key)
 					mu.Lock()
-					words[key] = append(words[key], word)
+					outcomes[key] = append(outcomes[key], outcome)
 					mu.Unlock()
-					if word == "answered" {
+					if outcome == "answered" {
 						break
 					}
 				}
@@ -266,52 +278,52 @@
 		}()
 	}
 	f.injectFaults()
-	over.Store(true)
+	done.Store(true)
 	wg.Wait()
 	runsByKey := f.runsByKey()
 	answered := 0
-	for key, told := range words {
-		assert.LessOrEqual(t, runsByKey[key], 1, "%s ran %d times: %v", key, runsByKey[key], told)
-		last := told[len(told)-1]
+	for key, got := range outcomes {
+		assert.LessOrEqual(t, runsByKey[key], 1, "%s ran %d times: %v", key, runsByKey[key], got)
+		last := got[len(got)-1]
 		if last == "answered" {
 			answered++
-			assert.Equal(t, 1, runsByKey[key], "%s answered: %v", key, told)
+			assert.Equal(t, 1, runsByKey[key], "%s answered: %v", key, got)
 		}
 		if last == "not-run" {
-			assert.Zero(t, runsByKey[key], "%s told not-run: %v", key, told)
+			assert.Zero(t, runsByKey[key], "%s got not-run: %v", key, got)
 		}
 	}
 	assert.Greater(t, answered, 50)
-	t.Logf("%d keys, %d answered", len(words), answered)
+	t.Logf("%d keys, %d answered", len(outcomes), answered)
 }
 
-// torment kills, freezes and restarts routers one after another.
+// injectFaults kills, freezes and restarts routers one after another.
 func (f *fleet) injectFaults() {
 	for round := range 3 {
-		victim, sleeper := f.routers[round], f.routers[4-round/2]
+		victim, frozen := f.routers[round], f.routers[4-round/2]
 		time.Sleep(time.Second)
-		require.NoError(f.t, sleeper.cmd.Process.Signal(syscall.SIGSTOP))
+		require.NoError(f.t, frozen.cmd.Process.Signal(syscall.SIGSTOP))
 		require.NoError(f.t, victim.cmd.Process.Kill())
 		_ = victim.cmd.Wait() // killed
 		time.Sleep(3 * time.Second)
-		require.NoError(f.t, sleeper.cmd.Process.Signal(syscall.SIGCONT))
+		require.NoError(f.t, frozen.cmd.Process.Signal(syscall.SIGCONT))
 		f.boot(victim, nil)
 		time.Sleep(time.Second)
 	}
 }
 
-// A rolling restart of the whole fleet under load fails no request.
+// A rolling restart of the whole fleet under load must not fail any request.
 func TestRollingRestartFailsNoRequest(t *testing.T) {
 	f := newFleet(t, 4, 64, 5*time.Millisecond)
 	var ok, bad atomic.Int64
-	var down [4]atomic.Bool // the balancer's view: readiness
-	var over atomic.Bool
+	var down [4]atomic.Bool // routers to which the balancer sends no requests
+	var done atomic.Bool
 	var wg sync.WaitGroup
 	for c := range 16 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for i := c; !over.Load(); i++ {
+			for i := c; !done.Load(); i++ {
 				if down[i%4].Load() {
 					continue
 				}
@@ -333,14 +345,15 @@
 		f.waitReady(r, 4)
 		down[i].Store(false)
 	}
-	over.Store(true)
+	done.Store(true)
 	wg.Wait()
 	assert.Zero(t, bad.Load(), "%v", f.details)
 	assert.Greater(t, ok.Load(), int64(100))
 	t.Logf("%d streams whole", ok.Load())
 }
 
-// Killing a router breaks its callers' streams visibly, and only those.
+// Killing a router must break its own callers' streams, and no others, and a broken stream
+// must not look complete.
 func TestKilledRouterBreaksStreamsVisibly(t *testing.T) {
 	f := newFleet(t, 3, 64, 20*time.Millisecond)
 	var wg sync.WaitGroup
@@ -363,7 +376,7 @@
 	}
 }
 
-// A second signal ends at once, and the exit code says that requests were cut.
+// A second signal must end the process at once, with the exit code for cut requests.
 func TestSecondSignalEndsAtOnce(t *testing.T) {
 	f := newFleet(t, 2, 8, 100*time.Millisecond)
 	go f.stream(f.routers[0], 600)
@@ -376,7 +389,7 @@
 	assert.Equal(t, exitRequestsCut, p.ProcessState.ExitCode())
 }
 
-// 2,000 concurrent streams through one router stay within 256 MB.
+// 2,000 concurrent streams through one router must stay within 256 MB of memory.
 func TestMemoryOfTwoThousandStreamsIsBounded(t *testing.T) {
 	f := newFleet(t, 2, 1500, 100*time.Millisecond)
 	var wg sync.WaitGroup
@@ -397,7 +410,7 @@
 	assert.Less(t, peak, 256)
 }
 
-// peakMB reads a process's largest resident set so far.
+// peakMB returns the peak resident set size of a process.
 func peakMB(t *testing.T, pid int) int {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
@@ -421,7 +434,8 @@
 	assert.Contains(t, string(out), "plaec")
 }
 
-// The hang-up signal ended the process with code 129.
+// Guards against SIGHUP without a handler, which ends the process with code 129. It must
+// reload the settings and leave the process running.
 func TestHangUpSignalReloadsWithoutStopping(t *testing.T) {
 	f := newFleet(t, 1, 2, time.Millisecond)
 	r := f.routers[0]
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs one of the stand-ins for tests and the demo.
+// Command standin runs one of the stand-ins that tests and the demo use in place of real
+// upstreams and platforms.
 package main
 
 import (
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	"context"
+	gocontext "context"
 	"errors"
 	"fmt"
 	"io"
@@ -133,7 +133,7 @@
 
 // attempt sends a request once and returns its outcome, and the Retry-After of a refusal.
 func (p *loadPlan) attempt(client *http.Client, r *loadReport, router, key string, prompt [2]string, startedAt time.Time) (outcome string, retryAfter time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.timeout)
+	ctx, cancel := gocontext.WithTimeout(gocontext.Background(), p.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, strings.TrimSuffix(router, "/")+p.path, strings.NewReader("load"))
 	if err != nil {
