--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is the project's own model of a model engine: it batches
-// continuously, reads prompts in chunks between the tokens of running requests,
-// keeps parts of prompts in limited memory, and admits requests in order of
-// arrival. Time is an argument. An Engine lives as long as one start of it.
+// Package engine simulates an inference engine with continuous batching, chunked prefill
+// between the decode steps of running requests, a prefix cache in limited memory, and
+// admission in order of arrival. Time is an argument. An Engine represents one start of an
+// engine process: its cache begins empty.
 package engine
 
 import (
@@ -9,90 +9,93 @@
 	"time"
 )
 
-// Figures describe an engine. Source of the defaults: an operator's sheet.
+// Config describes the capacity and speed of an engine. DefaultConfig holds an operator's
+// figures.
 type Config struct {
 	Slots                int     // requests that run at once
-	MemoryTokens         int     // for running requests and kept parts together
-	StepMS               float64 // of one step: each running request makes one token
-	StepPerRequestMS     float64 // more for each running request
-	StepPer1KContextMS   float64 // ms more for each 1,000 tokens of running requests
-	PrefillTokensPerMS   float64 // prompt tokens read in a millisecond
-	PrefillChunkTokens   int     // prompt tokens read in one step at most
-	EventTokens          int     // tokens in one event of a stream
-	FetchTokensPerMS     float64 // tokens fetched from another engine in a millisecond
-	FetchSetupMS         float64
-	RequestSetupMS       float64 // before a request is read, whatever its size
-	AttentionMSPerMPairs float64 // for a million pairs of a read token and one before it
+	MemoryTokens         int     // for the output of running requests and the prefix cache together
+	StepMS               float64 // base duration of a step, in which each running request makes one token
+	StepPerRequestMS     float64 // added for each running request
+	StepPer1KContextMS   float64 // added for each 1,000 tokens of running requests
+	PrefillTokensPerMS   float64 // prefill speed
+	PrefillChunkTokens   int     // most prompt tokens read in one step
+	EventTokens          int     // output tokens in one event of a stream
+	FetchTokensPerMS     float64 // speed of fetching cached tokens from another engine
+	FetchSetupMS         float64 // added for each fetch
+	RequestSetupMS       float64 // delay before a prompt is read, whatever its size
+	AttentionMSPerMPairs float64 // attention: for a million pairs of a token read and a token before it
 }
 
-// DefaultConfig are those of engines that read 39 tokens a millisecond.
+// DefaultConfig is that of engines that read 39 prompt tokens a millisecond.
 var DefaultConfig = Config{Slots: 64, MemoryTokens: 232_000, StepMS: 5.47, StepPerRequestMS: 0.0121, StepPer1KContextMS: 0.023,
 	PrefillTokensPerMS: 38.7, PrefillChunkTokens: 1024, EventTokens: 3, FetchTokensPerMS: 420, FetchSetupMS: 1.7}
 
-// Part is one part of a prompt.
+// Part is one part of a prompt. Parts with the same ID have the same content.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is what an engine is given.
+// Request is an inference request.
 type Request struct {
 	ID     uint64
 	Parts  []Part
-	Output int         // tokens it will make
-	Source PrefixCache // an engine to fetch kept parts from, or nil
+	Output int         // number of output tokens
+	Source PrefixCache // an engine to fetch cached parts from, or nil
 }
 
-// Keeper tells how many tokens of a prompt an engine keeps, from its first part on.
+// PrefixCache returns how many tokens of a prompt an engine has cached, from the first part
+// on.
 type PrefixCache interface{ Prefix(parts []Part) int }
 
-// Event is one thing that a request did.
+// Event is a step in the progress of a request.
 type Event struct {
 	ID   uint64
 	At   time.Time
 	Kind EventKind
 }
 
-// EventKind says what.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	First EventKind = iota // the first event of its stream
-	More                   // another event
-	Done                   // it has ended, with its last event
+	First EventKind = iota // the first event of the request's stream
+	More                   // a further event of the stream
+	Done                   // the request ended, with the last event of its stream
 )
 
-// Engine is one engine. One goroutine owns it.
+// Engine is a simulated engine. It must be used by one goroutine at a time.
 type Engine struct {
 	cfg          Config
 	now          time.Time // the end of the last step
 	waiting      []*activeRequest
 	running      []*activeRequest
 	cached       map[uint64]*list.Element
-	recent       *list.List // of Part, most recently used first
-	cachedTokens int        // tokens kept
-	Read         int        // prompt tokens read
-	Fetched      int        // tokens fetched from other engines
-	Rejected     int        // requests turned away
+	recent       *list.List // of Part, most recently used first; the values of cached are its elements
+	cachedTokens int
+	Read         int // total prompt tokens read
+	Fetched      int // total tokens fetched from other engines
+	Rejected     int // requests that Add rejected
 }
 
-// run is one request inside the engine.
+// activeRequest is a request that waits or runs in the engine.
 type activeRequest struct {
 	req            Request
-	prefillStarted bool // its prompt is being read: what is kept of it by then counts
-	unreadTokens   int
-	readyAt        time.Time // its fetch has ended
-	decoded        int
-	contextTokens  int
+	prefillStarted bool      // the prefix cached at the start of prefill is not read
+	unreadTokens   int       // of the prompt
+	readyAt        time.Time // end of the setup and of the fetch
+	decoded        int       // output tokens so far
+	contextTokens  int       // of the prompt
 }
 
-// New returns an empty engine.
+// New returns an engine without requests and with an empty cache.
 func New(cfg Config, now time.Time) *Engine {
 	return &Engine{cfg: cfg, now: now, cached: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// Add gives the engine a request. It returns false when the engine can never hold it.
+// Add queues a request. It returns false if the request exceeds the engine's memory, or if
+// too many requests wait already.
 func (e *Engine) Add(r Request, now time.Time) bool {
 	total := r.Output
 	for _, p := range r.Parts {
@@ -111,27 +114,28 @@
 	return true
 }
 
-// fetch copies what the source keeps of the prompt beyond the own parts.
+// fetch copies the parts of the prompt's prefix that the request's source has cached and
+// this engine has not, and delays the request by the time of the transfer.
 func (e *Engine) fetch(x *activeRequest, now time.Time) {
 	if x.req.Source == nil || x.req.Source == PrefixCache(e) {
 		return
 	}
-	own, there := e.Prefix(x.req.Parts), x.req.Source.Prefix(x.req.Parts)
-	if there <= own {
+	cached, atSource := e.Prefix(x.req.Parts), x.req.Source.Prefix(x.req.Parts)
+	if atSource <= cached {
 		return
 	}
 	n := 0
 	for _, p := range x.req.Parts {
-		if n += p.Tokens; n > there {
+		if n += p.Tokens; n > atSource {
 			break
 		}
 		e.addToCache(p)
 	}
-	e.Fetched += there - own
-	x.readyAt = x.readyAt.Add(ms(e.cfg.FetchSetupMS + float64(there-own)/e.cfg.FetchTokensPerMS))
+	e.Fetched += atSource - cached
+	x.readyAt = x.readyAt.Add(ms(e.cfg.FetchSetupMS + float64(atSource-cached)/e.cfg.FetchTokensPerMS))
 }
 
-// Prefix returns how many tokens of a prompt are kept, from its first part on.
+// Prefix returns how many tokens of a prompt are cached, from the first part on.
 func (e *Engine) Prefix(parts []Part) int {
 	n := 0
 	for _, p := range parts {
@@ -143,7 +147,8 @@
 	return n
 }
 
-// keep keeps a part as the one used last; the least recently used yield.
+// addToCache adds a part to the cache, or marks it as most recently used, and evicts the
+// least recently used parts if memory is short.
 func (e *Engine) addToCache(p Part) {
 	if el := e.cached[p.ID]; el != nil {
 		e.recent.MoveToFront(el)
@@ -154,6 +159,8 @@
 	e.evict()
 }
 
+// evict removes the least recently used parts until the cache fits the memory that the
+// output of running requests leaves.
 func (e *Engine) evict() {
 	for e.cachedTokens > 0 && e.cachedTokens+e.decoded() > e.cfg.MemoryTokens {
 		old := e.recent.Remove(e.recent.Back()).(Part)
@@ -162,7 +169,7 @@
 	}
 }
 
-// made is the memory of what running requests have generated.
+// decoded returns the number of output tokens that running requests hold in memory.
 func (e *Engine) decoded() int {
 	n := 0
 	for _, x := range e.running {
@@ -171,7 +178,7 @@
 	return n
 }
 
-// Advance runs steps up to a time and returns what happened in them.
+// Advance runs steps until a time and returns their events.
 func (e *Engine) Advance(to time.Time) []Event {
 	var out []Event
 	for e.now.Before(to) {
@@ -181,7 +188,7 @@
 				e.now = to
 				break
 			}
-			e.now = earlier(e.waiting[0].readyAt, to) // it waits for its fetch
+			e.now = earlier(e.waiting[0].readyAt, to) // nothing runs before the first request's setup and fetch have ended
 			continue
 		}
 		out = append(out, e.step()...)
@@ -196,7 +203,8 @@
 	return b
 }
 
-// admit starts what waits, in order of arrival.
+// admit moves waiting requests into free slots, in order of arrival. A request that is not
+// ready holds back those behind it.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Slots && !e.waiting[0].readyAt.After(e.now) {
 		x := e.waiting[0]
@@ -211,8 +219,8 @@
 	}
 }
 
-// step is one batch: a chunk of the prompts in order, and a token for each request
-// that has been read.
+// step runs one batch: one chunk of prefill, spent on unread prompts in order, and one
+// output token for each request whose prompt is read.
 func (e *Engine) step() []Event {
 	chunk, contextTokens, pairs := e.cfg.PrefillChunkTokens, 0, 0.0
 	var decoded []*activeRequest
@@ -236,24 +244,25 @@
 			decoded = append(decoded, x)
 		}
 	}
-	length := e.cfg.StepMS + e.cfg.StepPerRequestMS*float64(len(e.running)) + e.cfg.StepPer1KContextMS*float64(contextTokens)/1000 + float64(e.cfg.PrefillChunkTokens-chunk)/e.cfg.PrefillTokensPerMS + pairs*e.cfg.AttentionMSPerMPairs
-	e.now = e.now.Add(ms(length))
+	duration := e.cfg.StepMS + e.cfg.StepPerRequestMS*float64(len(e.running)) + e.cfg.StepPer1KContextMS*float64(contextTokens)/1000 + float64(e.cfg.PrefillChunkTokens-chunk)/e.cfg.PrefillTokensPerMS + pairs*e.cfg.AttentionMSPerMPairs
+	e.now = e.now.Add(ms(duration))
 	return e.decode(decoded)
 }
 
+// cachePrompt adds all parts of a prompt to the cache.
 func (e *Engine) cachePrompt(x *activeRequest) {
 	for _, p := range x.req.Parts {
 		e.addToCache(p)
 	}
 }
 
-// tokens gives each request one more token.
+// decode adds one output token to each request and returns the resulting events.
 func (e *Engine) decode(decoded []*activeRequest) []Event {
 	var out []Event
 	for _, x := range decoded {
 		x.decoded++
 		switch {
-		case x.decoded == 1: // an event comes with its first token
+		case x.decoded == 1: // the first token is an event of its own
 			out = append(out, Event{x.req.ID, e.now, First})
 		case (x.decoded-1)%e.cfg.EventTokens == 0 && x.decoded < x.req.Output:
 			out = append(out, Event{x.req.ID, e.now, More})
@@ -276,7 +285,7 @@
 	}
 }
 
-// Cancel ends a request, wherever it is.
+// Cancel removes a request, whether it waits or runs.
 func (e *Engine) Cancel(id uint64) {
 	for _, list := range []*[]*activeRequest{&e.waiting, &e.running} {
 		for i, x := range *list {
@@ -288,7 +297,7 @@
 	}
 }
 
-// Reading reports whether any prompt is not read yet.
+// HasUnreadPrompt reports whether a request waits or has an unread part of its prompt.
 func (e *Engine) HasUnreadPrompt() bool {
 	if len(e.waiting) > 0 {
 		return true
@@ -301,7 +310,7 @@
 	return false
 }
 
-// Load returns the requests that wait and run.
+// Load returns the numbers of waiting and running requests.
 func (e *Engine) Load() (waiting, running int) { return len(e.waiting), len(e.running) }
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,7 +10,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// until runs an engine until something happens, and returns it.
+// waitFor advances an engine until a request has an event of a kind, and returns the time
+// since start.
 func waitFor(t testing.TB, e *Engine, id uint64, kind EventKind) time.Duration {
 	for at := start; at.Before(start.Add(time.Minute)); at = at.Add(time.Millisecond) {
 		for _, ev := range e.Advance(at) {
@@ -19,7 +20,7 @@
 			}
 		}
 	}
-	t.Fatal("it never happened")
+	t.Fatal("request has no such event within a minute")
 	return 0
 }
 
@@ -28,7 +29,7 @@
 	parts := []Part{{1, 4000}, {2, 4000}}
 	assert.True(t, e.Add(Request{ID: 1, Parts: parts, Output: 30}, start))
 	cold := waitFor(t, e, 1, First)
-	// 8 chunks of 1,024 tokens at 38.7 a millisecond and a step each.
+	// 8 chunks of 1,024 tokens at 38.7 tokens a millisecond, each with the duration of a step.
 	assert.InDelta(t, 270, cold.Milliseconds(), 25)
 	again := New(DefaultConfig, start)
 	again.addToCache(parts[0])
@@ -53,7 +54,7 @@
 	e := New(DefaultConfig, start)
 	e.Add(Request{ID: 1, Parts: []Part{{1, 20_000}}, Output: 3}, start)
 	e.Add(Request{ID: 2, Parts: []Part{{2, 100}}, Output: 3}, start)
-	assert.Greater(t, waitFor(t, e, 2, First), 500*time.Millisecond, "behind the large one")
+	assert.Greater(t, waitFor(t, e, 2, First), 500*time.Millisecond, "behind the large prompt")
 }
 
 func TestSlotAndMemoryLimitsHold(t *testing.T) {
@@ -78,10 +79,10 @@
 			}
 			_, running := e.Load()
 			if running > fig.Slots {
-				t.Fatalf("%d run in %d slots", running, fig.Slots)
+				t.Fatalf("%d requests run in %d slots", running, fig.Slots)
 			}
 			if e.cachedTokens > 0 && e.cachedTokens+e.decoded() > fig.MemoryTokens {
-				t.Fatalf("%d kept and %d made in %d tokens", e.cachedTokens, e.decoded(), fig.MemoryTokens)
+				t.Fatalf("%d cached and %d decoded tokens in a memory of %d", e.cachedTokens, e.decoded(), fig.MemoryTokens)
 			}
 		}
 		for _, ev := range e.Advance(now.Add(10 * time.Minute)) {
@@ -90,7 +91,7 @@
 			}
 		}
 		if len(open) > 0 {
-			t.Fatalf("%d never ended", len(open))
+			t.Fatalf("%d requests never ended", len(open))
 		}
 	})
 }
@@ -103,7 +104,7 @@
 	assert.Less(t, waitFor(t, e, 2, First), 60*time.Millisecond)
 	e.Cancel(99)
 	w, r := e.Load()
-	assert.Zero(t, w+r-1, "the second still makes its last token")
+	assert.Zero(t, w+r-1, "the second request still runs")
 }
 
 func TestEventOrder(t *testing.T) {
@@ -113,5 +114,5 @@
 	for _, ev := range e.Advance(start.Add(time.Second)) {
 		kinds = append(kinds, ev.Kind)
 	}
-	assert.Equal(t, []EventKind{First, More, More, Done}, kinds, "events of three tokens, and the last one")
+	assert.Equal(t, []EventKind{First, More, More, Done}, kinds, "an event every three tokens, and the last one")
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,16 +13,16 @@
 	"github.com/gorilla/mux"
 )
 
-// Engine is a stand-in model engine: it admits at once, streams words at a fixed
-// pace, and can resume and cancel streams.
+// Engine is a stand-in inference engine. It starts every request at once, streams tokens at
+// a fixed rate, and supports resuming and cancelling streams.
 type Engine struct {
 	Journal         Journal
-	FirstTokenDelay time.Duration // to the first token
-	TokenInterval   time.Duration // between tokens
-	DefaultTokens   int           // of an answer without max_tokens
-	CutAt           int           // connection is cut once before this event, 0 for never
-	LoseAt          int           // the stream is lost before this event, 0 for never
-	WrongRequestID  bool          // replies name another attempt
+	FirstTokenDelay time.Duration
+	TokenInterval   time.Duration
+	DefaultTokens   int  // length of an answer without max_tokens
+	CutAt           int  // cut the connection once before this event; 0 for never
+	LoseAt          int  // cut the connection before this event and forget the stream; 0 for never
+	WrongRequestID  bool // answer with another request's X-Request-Id
 
 	leaveState
 	mu      sync.Mutex
@@ -30,7 +30,7 @@
 	running int
 }
 
-// generation is one answer being made; it goes on while its reader is away.
+// generation is an answer being generated. It continues while no client is connected.
 type generation struct {
 	began    time.Time
 	total    int
@@ -40,6 +40,7 @@
 	lost     bool
 }
 
+// completion is the body of a chat completion request.
 type completion struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -87,6 +88,7 @@
 	e.writeWhole(w, id, g)
 }
 
+// begin registers the generation of a request.
 func (e *Engine) begin(id string, c completion) *generation {
 	g := &generation{began: time.Now(), total: e.DefaultTokens}
 	if c.Max > 0 {
@@ -108,8 +110,8 @@
 	e.running--
 }
 
-// word is the i-th token of an answer; the first repeats the question, so that a
-// caller can tell whose answer it has.
+// token returns the i-th token of an answer. The first one repeats the last message, so
+// that a caller can check that the answer belongs to its request.
 func (g *generation) token(i int) string {
 	if i == 0 {
 		return "re:" + g.echo
@@ -117,6 +119,7 @@
 	return " w" + strconv.Itoa(i)
 }
 
+// writeWhole writes the whole answer as one JSON object.
 func (e *Engine) writeWhole(w http.ResponseWriter, id string, g *generation) {
 	var text strings.Builder
 	for i := range g.total {
@@ -129,7 +132,7 @@
 	})
 }
 
-// stream sends events from a position on, at the pace of generation.
+// writeStream sends the events from a position on, each when its token is generated.
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, id string, g *generation, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
@@ -159,7 +162,8 @@
 	return string(raw)
 }
 
-// due waits until the i-th event has been generated; false when it will not be.
+// waitForToken waits until the i-th token is generated. It returns false if the client has
+// gone or the stream is canceled.
 func (e *Engine) waitForToken(r *http.Request, g *generation, i int) bool {
 	at := g.began.Add(e.FirstTokenDelay + e.TokenInterval*time.Duration(i))
 	select {
@@ -172,6 +176,8 @@
 	return !g.canceled
 }
 
+// breaksBefore reports whether the connection is to be cut before the i-th event, and
+// records that it was.
 func (e *Engine) breaksBefore(g *generation, i int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/freeaddr.go
+++ b/internal/standin/freeaddr.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Ports handed out lie below the range from which systems take the ports of
-// outgoing connections, so that none is taken before a process listens on it.
+// The ports lie below the range of ephemeral ports, so that no outgoing connection takes
+// one before a process listens on it.
 const (
 	firstPort = 20000
 	lastPort  = 32000
@@ -16,8 +16,8 @@
 
 var nextPort atomic.Int64
 
-// FreeAddr returns a loopback address on which neither TCP nor UDP is in use,
-// and which this process has not handed out before.
+// FreeAddr returns a loopback address whose port is free for TCP and UDP, and which this
+// process has not returned before.
 func FreeAddr() string {
 	const span = lastPort - firstPort
 	start := int64(os.Getpid()*97) % span
@@ -31,6 +31,7 @@
 	panic("no free port on loopback")
 }
 
+// isFree reports whether an address is free for both TCP and UDP.
 func isFree(addr string) bool {
 	t, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -10,12 +10,12 @@
 	"github.com/gorilla/mux"
 )
 
-// Plain is a stand-in plain service. It does not check whether a call repeats
-// another: its journal shows.
+// Plain is a stand-in plain service. It runs repeated calls again, so that its journal
+// shows them.
 type Plain struct {
 	Journal Journal
 	Delay   time.Duration
-	BreakOn string // path on which the connection breaks after the call has run
+	BreakOn string // path on which the connection is cut after the call has run
 
 	leaveState
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -10,8 +10,8 @@
 	"github.com/gorilla/mux"
 )
 
-// Platform is a stand-in for the configuration service and the VM list. Routers
-// only read it; PUT is the operators' side.
+// Platform is a stand-in for the platform: the configuration service and the VM list.
+// Routers only read from it; PUT is for operators.
 type Platform struct {
 	mu      sync.Mutex
 	values  map[string]value
@@ -20,12 +20,13 @@
 	calls   int
 }
 
+// value is a published value with its revision.
 type value struct {
 	raw      []byte
 	revision int
 }
 
-// NewPlatform returns a platform that has published nothing.
+// NewPlatform returns a platform without published values.
 func NewPlatform() *Platform {
 	return &Platform{values: map[string]value{}, changed: make(chan struct{})}
 }
@@ -39,7 +40,7 @@
 	return r
 }
 
-// Publish sets a value, as the operators do.
+// Publish sets a value, as an operator does, and wakes waiting readers.
 func (p *Platform) Publish(name string, raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,14 +49,14 @@
 	p.changed = make(chan struct{})
 }
 
-// SetDown makes every read fail, or work again.
+// SetDown makes all reads fail with status 503, or succeed again.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// Calls returns the reads so far.
+// Calls returns the number of reads so far.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,33 +72,35 @@
 	p.Publish(mux.Vars(r)["name"], raw)
 }
 
+// lookup returns a value, a channel that the next Publish closes, and whether reads fail.
 func (p *Platform) lookup(name string) (value, chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.values[name], p.changed, p.down
 }
 
-// get answers at once with a value other than the one the reader has, or waits.
+// get is a long poll: it answers at once if the value's revision differs from the one in
+// the parameter after, and otherwise waits for a change, at most wait seconds.
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.calls++
 	p.mu.Unlock()
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	until := time.After(time.Duration(wait) * time.Second)
+	timeout := time.After(time.Duration(wait) * time.Second)
 	for {
-		v, wake, down := p.lookup(mux.Vars(r)["name"])
+		v, changed, down := p.lookup(mux.Vars(r)["name"])
 		if down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
 		if v.revision > 0 && r.URL.Query().Get("after") != strconv.Itoa(v.revision) {
 			w.Header().Set("X-Revision", strconv.Itoa(v.revision))
-			_, _ = w.Write(v.raw) // the reader may be gone
+			_, _ = w.Write(v.raw) // the client may have gone
 			return
 		}
 		select {
-		case <-wake:
-		case <-until:
+		case <-changed:
+		case <-timeout:
 			w.WriteHeader(http.StatusNotModified)
 			return
 		case <-r.Context().Done():
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin holds small stand-ins for the systems silverswitch meets: a
-// model engine, a plain service, and the platform. They speak the protocols that
-// docs/API.md describes, keep a journal of what reached them, and serve tests,
-// the demo and the bench only.
+// Package standin provides small stand-ins for the systems that silverswitch talks to: an
+// inference engine, a plain service, and the platform. They speak the protocols described
+// in docs/API.md. The upstreams keep a journal of the requests that reached them. They are
+// for tests, the demo and the bench only.
 package standin
 
 import (
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Entry is one request that began to run at a stand-in upstream.
+// Entry is a request that a stand-in upstream began to run.
 type Entry struct {
 	Attempt      string `json:"attempt"`
 	Organisation string `json:"organisation"`
@@ -18,7 +18,8 @@
 	Path         string `json:"path"`
 }
 
-// Journal is what reached an upstream. It may be used by any goroutine.
+// Journal records the requests that an upstream began to run. It is safe for concurrent
+// use.
 type Journal struct {
 	mu      sync.Mutex
 	entries []Entry
@@ -42,23 +43,24 @@
 	return append([]Entry(nil), j.entries...)
 }
 
-// serve shows the journal at GET /journal.
+// serve answers with the journal as JSON, for GET /journal.
 func (j *Journal) serve(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, j.Entries())
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the reader may be gone
+	_ = json.NewEncoder(w).Encode(v) // the client may have gone
 }
 
-// gate turns new work away once the upstream is leaving, with proof that it did
-// not start.
+// leaveState refuses new requests once the upstream is leaving, with a header that proves
+// that the request was not started.
 type leaveState struct {
 	mu      sync.Mutex
 	leaving bool
 }
 
+// leave makes the upstream leave.
 func (g *leaveState) leave(w http.ResponseWriter, _ *http.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,6 +68,7 @@
 	writeJSON(w, map[string]bool{"leaving": true})
 }
 
+// refuseIfLeaving answers with a refusal and returns true if the upstream is leaving.
 func (g *leaveState) refuseIfLeaving(w http.ResponseWriter, r *http.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
