--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -8,25 +8,25 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Baseline is a router that decides alone: the simple ways the chosen one is
-// measured against. It sends no control messages.
+// Baseline is a router that decides by itself and sends no control messages. It implements
+// the simple strategies with which the routers' strategy is compared.
 type Baseline struct {
 	ver      *version.Version
-	routers  int // 0: no limit, least loaded; else each router has this part of every slot
+	routers  int // each may use 1/routers of every upstream's slots; 0 for no limit
 	running  map[version.ID]int
-	queues   map[version.ID][]entry.Request // waiting, by organisation
+	queues   map[version.ID][]entry.Request // by organisation
 	request  map[uint64]entry.Request
 	upstream map[uint64]version.ID
 	served   map[version.ID]float64
 	out      []core.Output
 }
 
-// NewLeastLoaded returns a router that sends each request at once to the upstream it
-// has least at.
+// NewLeastLoaded returns a router that starts each request at once, at the upstream that runs
+// the fewest of this router's requests.
 func NewLeastLoaded(core.Settings, time.Time) Router { return newBaseline(0) }
 
-// NewPartitioned returns a router that owns a fixed part of every upstream's slots and
-// queues fairly by itself.
+// NewPartitioned returns a function that makes routers which each own a fixed fraction of
+// every upstream's slots and share it fairly between organisations.
 func NewPartitioned(routers int) func(core.Settings, time.Time) Router {
 	return func(core.Settings, time.Time) Router { return newBaseline(routers) }
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// Step takes an input; what concerns other routers is passed over.
+// Step handles an input. Inputs that concern other routers are ignored.
 func (b *Baseline) Step(in core.Input, _ time.Time) {
 	switch in := in.(type) {
 	case core.NewVersion:
@@ -56,17 +56,18 @@
 	b.startQueued()
 }
 
-// Tick does nothing: a baseline acts on inputs only.
+// Tick does nothing, as a baseline acts on inputs only.
 func (b *Baseline) Tick(time.Time) {}
 
-// Ready returns the starts decided.
+// Ready returns the starts decided since the last call.
 func (b *Baseline) Ready(time.Time) []core.Output {
 	out := b.out
 	b.out = nil
 	return out
 }
 
-// fill starts what it can, the organisation served least first.
+// startQueued starts queued requests while slots allow, those of the least served
+// organisation first.
 func (b *Baseline) startQueued() {
 	for {
 		org, upstream := b.next()
@@ -81,6 +82,8 @@
 	}
 }
 
+// next returns the least served organisation whose first request can start, and an upstream
+// for that request, or zeros.
 func (b *Baseline) next() (org, up version.ID) {
 	for id, q := range b.queues {
 		if len(q) == 0 || (up != 0 && !b.servedLess(id, org)) {
@@ -93,6 +96,8 @@
 	return org, up
 }
 
+// servedLess reports whether x precedes y: it was served less, or as much and has the
+// smaller ID.
 func (b *Baseline) servedLess(x, y version.ID) bool {
 	if b.served[x] != b.served[y] {
 		return b.served[x] < b.served[y]
@@ -100,8 +105,8 @@
 	return x < y
 }
 
-// least returns the allowed upstream with the least of this router's requests,
-// or 0 when its part of each is full.
+// leastLoaded returns the allowed upstream with the fewest of this router's requests, or 0
+// when this router's slots of all allowed upstreams are taken.
 func (b *Baseline) leastLoaded(r entry.Request) version.ID {
 	var best version.ID
 	for id, u := range b.ver.Upstreams {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -10,49 +10,49 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Size is one point of a capacity slope.
+// Size is the size of a simulated fleet and its load, one point of a capacity slope.
 type Size struct {
 	Nodes      int
 	Engines    int
 	Orgs       int
-	Backlogged int     // of the organisations
-	PerNode    float64 // requests/s that enter by one node, of those not backlogged
-	Seconds    int     // measured
+	Backlogged int     // number of organisations that are backlogged
+	PerNode    float64 // requests/s received by one node from organisations that are not backlogged
+	Seconds    int     // duration of the measurement
 }
 
-// Cost is what one node spent on control at a size.
+// Cost holds what a node spent on control at a size.
 type Cost struct {
 	Size
-	Sent      float64 // bytes/s, mean over nodes
-	Busiest   float64 // bytes/s of the node that sent most
-	Datagrams float64 // sent a second, mean
-	Requests  float64 // started a second, whole fleet
-	CPU       float64 // of one core, mean, with encoding and the lab, without sealing and system calls
-	HeapMB    float64 // mean, the version not counted
+	Sent      float64 // control bytes/s, mean over nodes
+	Busiest   float64 // control bytes/s of the node that sent most
+	Datagrams float64 // sent per second, mean over nodes
+	Requests  float64 // started per second in the whole fleet
+	CPU       float64 // of one core, mean over nodes; includes encoding and the simulation, but no encryption or system calls
+	HeapMB    float64 // mean over nodes; all nodes share one version in memory
 	Running   int
 	Waiting   int
 }
 
-// The shape of the planned fleet.
+// The dimensions of the planned fleet.
 const (
 	plannedPlaces      = 11
 	plannedRegions     = 4
 	plannedModels      = 14
 	plannedSlots       = 40
-	modelsPerOrg       = 3 // models an organisation calls
-	backlogFactor      = 3 // requests a backlogged organisation keeps open, over its part
+	modelsPerOrg       = 3 // models that an organisation calls
+	backlogFactor      = 3 // ratio of a backlogged organisation's open requests to its share of slots
 	settleDuration     = 90 * time.Second
-	meanRequestSeconds = 35.2 // seconds, at the mean size
+	meanRequestSeconds = 35.2 // of a request of mean size
 )
 
-// Measure plays a fleet of the size and returns what a node spends.
+// Measure simulates a fleet of the size and returns what a node spends.
 func (s Size) Measure() Cost {
 	f := Fleet{Engines: s.Engines, Slots: plannedSlots, Regions: plannedRegions, Models: plannedModels}
 	for i := range plannedPlaces {
 		f.Places = append(f.Places, fmt.Sprintf("p%02d", i))
 	}
 	for i := range s.Orgs {
-		// Places i and i+4 are of one region: an organisation stays in it.
+		// Places i and i+4 are in the same region, to which the organisation is restricted.
 		f.Orgs = append(f.Orgs, Org{Name: fmt.Sprintf("o%03d", i), Places: []string{f.Places[i%7], f.Places[i%7+plannedRegions]}})
 	}
 	w := New(f.Load(1), 1, nil)
@@ -64,10 +64,10 @@
 	return s.measure(w)
 }
 
-// load opens the callers of every organisation.
+// openRequests starts the callers of all organisations.
 func (s Size) openRequests(w *World) {
 	rate := s.PerNode * float64(s.Nodes) / float64(max(1, s.Orgs-s.Backlogged))
-	part := s.Engines * plannedSlots / max(1, s.Orgs)
+	orgSlots := s.Engines * plannedSlots / max(1, s.Orgs)
 	for i := range s.Orgs {
 		o := w.Version.ByName(fmt.Sprintf("o%03d", i))
 		hosts := w.hostsOf(o)
@@ -77,7 +77,7 @@
 		for m := range modelsPerOrg {
 			app := ChatApplication((i + m) % plannedModels)
 			if i < s.Backlogged {
-				w.KeepOpen(o, app, backlogFactor*part/modelsPerOrg+1, hosts)
+				w.KeepOpen(o, app, backlogFactor*orgSlots/modelsPerOrg+1, hosts)
 			} else if rate > 0 {
 				w.arrivals(o, app, rate/modelsPerOrg, hosts)
 			}
@@ -85,6 +85,7 @@
 	}
 }
 
+// hostsOf returns the indices of the hosts in the places allowed to an organisation.
 func (w *World) hostsOf(o *version.Organisation) []int {
 	var out []int
 	for i, id := range w.Order {
@@ -95,7 +96,7 @@
 	return out
 }
 
-// arrivals is an open loop of callers with exponential gaps.
+// arrivals submits requests in an open loop, at exponentially distributed intervals.
 func (w *World) arrivals(o *version.Organisation, app string, rate float64, hosts []int) {
 	gap := time.Duration(w.rnd.ExpFloat64() / rate * float64(time.Second))
 	w.After(gap, func() {
@@ -104,6 +105,7 @@
 	})
 }
 
+// measure runs the world for the measured time and returns the cost per node.
 func (s Size) measure(w *World) Cost {
 	sent, started := w.Sent, w.Started
 	for id := range w.SentBytes {
@@ -112,8 +114,8 @@
 	cpu := cpuTime()
 	w.Run(time.Duration(s.Seconds) * time.Second)
 	cpu = cpuTime() - cpu
-	per := float64(s.Nodes) * float64(s.Seconds)
-	c := Cost{Size: s, CPU: cpu.Seconds() / per, Datagrams: float64(w.Sent-sent) / per, Requests: float64(w.Started-started) / float64(s.Seconds)}
+	nodeSeconds := float64(s.Nodes) * float64(s.Seconds)
+	c := Cost{Size: s, CPU: cpu.Seconds() / nodeSeconds, Datagrams: float64(w.Sent-sent) / nodeSeconds, Requests: float64(w.Started-started) / float64(s.Seconds)}
 	for _, id := range w.Order {
 		rate := float64(w.SentBytes[id]) / float64(s.Seconds)
 		c.Sent += rate / float64(s.Nodes)
@@ -130,10 +132,11 @@
 	return c
 }
 
+// cpuTime returns the CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // fails only for a wrong argument
+		panic(err) // fails only for an invalid argument
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- a/internal/lab/fair_test.go
+++ b/internal/lab/fair_test.go
@@ -9,15 +9,16 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Bounds on the gap between two backlogged organisations over the whole fleet,
-// in largest requests, with 640 slots (73 largest requests in flight). See
-// docs/PROOFS.md for how they were chosen.
+// Bounds on the gap in service between two backlogged organisations over the whole fleet,
+// in largest requests, with 640 slots (73 largest requests in flight). docs/PROOFS.md
+// explains them.
 const (
 	boundQuiet = 2.0
 	boundKill  = 8.0
-	boundCut   = 45.0 // 60 s with the slots shared by routers seen, and levelling after
+	boundCut   = 45.0 // 60 s in which slots are divided by the routers that each side sees, and the time to level out
 )
 
+// runChosen runs the bench with the strategy that routers use.
 func runChosen(f Fault, u version.Unit, seed uint64) Result {
 	ways := Strategies(Routers)
 	return Scenario{Strategy: ways[len(ways)-1], Fault: f, Unit: u, Seed: seed}.Run()
@@ -30,7 +31,7 @@
 			r := runChosen(FaultNone, unit, 7)
 			bound := boundQuiet
 			if unit == version.UnitAnswered {
-				bound = 64 // a tenth of the answers in flight: their costs are very unequal
+				bound = 64 // a tenth of the answers in flight, as their costs are very unequal
 			}
 			assert.LessOrEqual(t, r.Gap, bound)
 			assert.GreaterOrEqual(t, r.Utilisation, 0.97)
@@ -62,8 +63,10 @@
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 }
 
-// A flood at a late router of the routed interface broke shares. Here nobody decides
-// alone: a late router uses its grants late, and its organisation keeps its share.
+// Guards against a flood at an overloaded router breaking shares, as happened in the routed
+// interface, where such a router made local decisions. In the application interface no
+// router decides alone: a delayed router uses its grants late, and its organisation keeps
+// its share.
 func TestOrganisationOfDelayedRouterKeepsItsShare(t *testing.T) {
 	t.Parallel()
 	r := runChosen(FaultDelayedReads, version.UnitTokens, 9)
@@ -72,7 +75,7 @@
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 }
 
-// The bounds above are worth something only if simple ways break them.
+// The bounds above mean something only if simple strategies exceed them.
 func TestBaselinesExceedTheGapBound(t *testing.T) {
 	t.Parallel()
 	for _, way := range Strategies(Routers)[:3] {
@@ -84,7 +87,7 @@
 func TestControlTrafficIsBounded(t *testing.T) {
 	t.Parallel()
 	r := runChosen(FaultNone, version.UnitTokens, 11)
-	assert.Less(t, r.Control, 2048.0, "bytes/s a router, in a backlog of 18 requests/s")
+	assert.Less(t, r.Control, 2048.0, "control bytes/s of a router, with a backlog of 18 requests/s")
 }
 
 func TestServiceFollowsShares(t *testing.T) {
@@ -102,6 +105,7 @@
 	assert.InDelta(t, 3, ratio, 0.2)
 }
 
+// smallWorld returns a world with core nodes that have run for 8 s.
 func smallWorld(f Fleet, hosts int, seed uint64, opt sched.Options) *World {
 	w := New(f.Load(1), seed, nil)
 	w.BootAll(hosts, f.Places, settings(opt))
@@ -109,7 +113,7 @@
 	return w
 }
 
-// A failure is worth its replay only if one seed gives one run.
+// A failure can be replayed from its seed only if runs are deterministic.
 func TestRunIsDeterministic(t *testing.T) {
 	t.Parallel()
 	assert.Equal(t, runChosen(FaultKill, version.UnitTokens, 3), runChosen(FaultKill, version.UnitTokens, 3))
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -9,17 +9,17 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Fleet describes the upstreams and organisations of a lab.
+// Fleet describes the upstreams and organisations of a simulated fleet.
 type Fleet struct {
 	Places  []string
-	Regions int // places are spread over them in turn, 0 for 1
-	Models  int // services, 0 for 1; engines are spread over them in turn
-	Engines int // spread over the places in turn
+	Regions int // places are assigned to them in turn; 0 for 1
+	Models  int // services; engines are assigned to them in turn; 0 for 1
+	Engines int // assigned to the places in turn
 	Slots   int
 	Orgs    []Org
 }
 
-// Org is one organisation of a lab.
+// Org describes an organisation.
 type Org struct {
 	Name   string
 	Places []string // nil for all
@@ -29,7 +29,8 @@
 	Hint   int
 }
 
-// Load builds the fleet's version through the loader that routers use.
+// Load returns the fleet's configuration as a version, built by the loader that routers
+// use.
 func (f Fleet) Load(revision uint64) *version.Version {
 	p := version.Packed{Revision: revision, Files: map[string]string{version.FleetFile: f.fleetText()}}
 	p.Files["templates/all.ini"] = `[template]
@@ -61,7 +62,8 @@
 	return v
 }
 
-// chatText has one application for each model: chat, chat1, chat2 and so on.
+// chatText returns the configuration of one application for each model: chat, chat1, chat2
+// and so on.
 func (f Fleet) chatText() string {
 	var b strings.Builder
 	for i := range max(1, f.Models) {
@@ -78,6 +80,7 @@
 	return fmt.Sprintf("chat%d", i)
 }
 
+// fleetText returns the configuration of the places, services and upstreams.
 func (f Fleet) fleetText() string {
 	var b strings.Builder
 	for i, p := range f.Places {
@@ -93,6 +96,7 @@
 	return b.String()
 }
 
+// orgText returns the configuration of an organisation.
 func (f Fleet) orgText(i int, o Org) string {
 	if o.Places == nil {
 		o.Places = f.Places
@@ -110,32 +114,33 @@
 		o.Name, i+1, strings.Join(o.Places, ","), o.Share, o.Unit, o.Worth, o.Hint)
 }
 
-// Sizes of answers, in tokens: lognormal with a mean near 465.
+// The lengths of answers, in tokens, are lognormal with a mean near 465.
 const (
 	MaxAnswerTokens = 4096
 	sizeMu          = 5.6
 	sizeSigma       = 1.04
 )
 
-// Size draws one answer's tokens.
+// AnswerTokens draws the length of an answer.
 func (w *World) AnswerTokens() int {
 	n := math.Exp(sizeMu + sizeSigma*w.rnd.NormFloat64())
 	return int(min(max(n, 1), MaxAnswerTokens))
 }
 
 const (
-	callerTimeout = time.Hour
-	retryDelay    = 50 * time.Millisecond // a closed-loop caller's pause after a refusal
+	callerTimeout = time.Hour             // deadline of each request
+	retryDelay    = 50 * time.Millisecond // before a closed-loop caller retries a refused request
 )
 
-// KeepOpen keeps a number of requests open at the given hosts, for ever; when its
-// host is down a caller comes back by another.
+// KeepOpen runs closed-loop callers that keep a number of requests open at the given hosts
+// for the rest of the simulation. A caller whose host is down uses another one.
 func (w *World) KeepOpen(o *version.Organisation, app string, open int, hosts []int) {
 	for i := range open {
 		w.runCaller(o, app, hosts, i)
 	}
 }
 
+// runCaller sends one request of a closed-loop caller, and the next one when it ends.
 func (w *World) runCaller(o *version.Organisation, app string, hosts []int, i int) {
 	h := w.hostFor(o, hosts, i)
 	if h == nil {
@@ -159,11 +164,13 @@
 	w.onHostKill(h, next)
 }
 
-// onHostKill sends a caller elsewhere when its router dies.
+// onHostKill registers a function to call when a host is killed.
 func (w *World) onHostKill(h *Host, next func()) {
 	h.onKill = append(h.onKill, next)
 }
 
+// hostFor returns a host that is up and in an allowed place, preferably one of hosts, or
+// nil.
 func (w *World) hostFor(o *version.Organisation, hosts []int, i int) *Host {
 	for k := range hosts {
 		if h := w.Hosts[w.Order[hosts[(i+k)%len(hosts)]]]; h.Up && o.Allows(h.Place) {
@@ -178,20 +185,20 @@
 	return nil
 }
 
-// Meter follows the gap between backlogged organisations, and the slots used
-// while work waits.
+// Meter measures the gap in service between backlogged organisations, and the utilisation
+// of slots.
 type Meter struct {
-	Gap        float64 // largest, in largest requests, over share
-	usedSlots  float64
-	totalSlots float64
-	base       map[version.ID]float64
+	Gap        float64                // largest gap so far, in largest requests, each service divided by its share
+	usedSlots  float64                // summed over samples
+	totalSlots float64                // summed over samples
+	base       map[version.ID]float64 // service when the meter started
 }
 
-// Utilisation is the part of all slots that were used.
+// Utilisation returns the ratio of used slots to all slots.
 func (m *Meter) Utilisation() float64 { return m.usedSlots / m.totalSlots }
 
-// Watch measures every second from now on. value returns each organisation's
-// service, in parts of the largest request.
+// StartMeter starts a meter that samples every second. value returns each organisation's
+// service, as a multiple of the largest request.
 func (w *World) StartMeter(orgs []*version.Organisation, slots int, value func() map[version.ID]float64) *Meter {
 	m := &Meter{base: value()}
 	var sample func()
@@ -207,6 +214,7 @@
 	return m
 }
 
+// sample updates the gap with the service at the current time.
 func (m *Meter) sample(orgs []*version.Organisation, now map[version.ID]float64) {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, o := range orgs {
@@ -216,7 +224,8 @@
 	m.Gap = max(m.Gap, hi-lo)
 }
 
-// Tokens returns service in tokens, in parts of the largest request.
+// TokenService returns the tokens generated for each organisation, as a multiple of the
+// largest request.
 func (w *World) TokenService() map[version.ID]float64 {
 	out := w.Service()
 	for id := range out {
--- a/internal/lab/job.go
+++ b/internal/lab/job.go
@@ -10,7 +10,7 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Job is one request and what became of it.
+// Job is a request and its outcome.
 type Job struct {
 	Org      *version.Organisation
 	App      string
@@ -25,11 +25,12 @@
 	Running  bool
 	Ended    bool
 	Refused  entry.Reason
-	Doubt    bool
+	Doubt    bool // refused, but it is unknown whether the key has run
 	done     func(*Job)
 }
 
-// start runs a job at its upstream and checks the place rule there.
+// start sends a job to an upstream, where it runs or waits for a slot, and counts starts
+// outside the allowed places.
 func (w *World) start(j *Job, up version.ID) {
 	u := w.Version.Upstreams[up]
 	j.Starts++
@@ -48,7 +49,7 @@
 	w.begin(j)
 }
 
-// begin takes a slot of the job's upstream.
+// begin runs a job in a slot of its upstream.
 func (w *World) begin(j *Job) {
 	j.Running, j.Began = true, w.Now
 	w.Running[j.Upstream.ID]++
@@ -61,6 +62,7 @@
 	})
 }
 
+// tokenInterval returns the time between a job's tokens at the speed of its upstream.
 func (w *World) tokenInterval(j *Job) time.Duration {
 	if s := w.Speed[j.Upstream.ID]; s > 0 {
 		return time.Duration(float64(w.TokenInterval) / s)
@@ -68,12 +70,14 @@
 	return w.TokenInterval
 }
 
-// Generated is how many tokens a running job has made so far.
+// GeneratedTokens returns how many tokens a running job has generated so far.
 func (w *World) GeneratedTokens(j *Job) float64 {
 	n := int((w.Now.Sub(j.Began) - w.FirstTokenDelay) / w.tokenInterval(j))
 	return float64(min(max(n, 0), j.Tokens))
 }
 
+// finish ends a job that was answered and reports its cost and the time between its tokens
+// to its router.
 func (w *World) finish(j *Job) {
 	units := float64(j.Tokens)
 	w.stop(j)
@@ -87,7 +91,8 @@
 	w.end(j, func(*Job) {})
 }
 
-// stop takes a job off its upstream and books what it generated.
+// stop ends a job at its upstream, records what it generated, and gives the slot to the
+// next job that waits there.
 func (w *World) stop(j *Job) {
 	if !j.Running {
 		return
@@ -107,6 +112,7 @@
 	}
 }
 
+// end marks a job as ended, after set has stored its outcome, and calls its done function.
 func (w *World) end(j *Job, set func(*Job)) {
 	if j == nil || j.Ended {
 		return
--- a/internal/lab/safety_test.go
+++ b/internal/lab/safety_test.go
@@ -21,23 +21,24 @@
 
 var twoOrgs = Fleet{Places: []string{"a", "b"}, Engines: 4, Slots: 4, Orgs: []Org{{Name: "x"}, {Name: "y", Places: []string{"a"}}}}
 
-// keyAt returns a key minted now, numbered so that each is different.
+// keyAt returns the n-th key, minted now.
 func keyAt(w *World, n int) *claim.Key {
 	k := claim.Key{Minted: w.Now}
 	copy(k.Sum[:], fmt.Sprintf("key-%d", n))
 	return &k
 }
 
-// order sends a request that may run at most once, and returns its job.
+// order submits a request that may run at most once, and returns its job.
 func order(w *World, host int, k *claim.Key) *Job {
 	o := w.Version.ByName("x")
 	return w.Submit(w.Hosts[w.Order[host]], o, "order", 20, time.Minute, k, nil)
 }
 
+// newFleet returns a world whose witnesses vote on new keys.
 func newFleet(t *testing.T, hosts int, seed uint64) *World {
 	t.Helper()
 	w := smallWorld(twoOrgs, hosts, seed, core.DefaultSched())
-	w.Run(10 * time.Second) // witnesses vouch for keys minted after their start
+	w.Run(10 * time.Second) // witnesses vote only on keys minted after they started
 	return w
 }
 
@@ -51,7 +52,7 @@
 	assert.Equal(t, 1, first.Starts)
 	assert.Zero(t, second.Starts)
 	assert.Equal(t, entry.ReasonKeyTaken, second.Refused)
-	assert.True(t, second.Doubt, "the first ran: the second may not be told that it was not run")
+	assert.True(t, second.Doubt, "the first request ran, so the second must not be reported as not-run")
 }
 
 func TestKeyRunsOnceAfterItsRouterRestartsEmpty(t *testing.T) {
@@ -86,19 +87,20 @@
 	second := order(w, 3, k)
 	w.Run(5 * time.Second)
 	assert.Zero(t, second.Starts)
-	assert.True(t, second.Doubt, "nobody is left who remembers: the outcome is unknown")
+	assert.True(t, second.Doubt, "no witness remembers the key, so the outcome is unknown")
 }
 
 func TestOnlyOneSideOfPartitionRunsKey(t *testing.T) {
 	w := newFleet(t, 8, 4)
 	k := keyAt(w, 1)
 	partitionAfter(w, 4)
-	w.Run(8 * time.Second) // both sides have given the other up
+	w.Run(8 * time.Second) // each side has declared the other dead
 	a, b := order(w, 0, k), order(w, 7, k)
 	w.Run(10 * time.Second)
 	assert.LessOrEqual(t, a.Starts+b.Starts, 1)
 }
 
+// partitionAfter separates the first n hosts from the others.
 func partitionAfter(w *World, n int) {
 	side := map[wire.NodeID]bool{}
 	for _, id := range w.Order[:n] {
@@ -123,8 +125,8 @@
 	}
 }
 
-// Whatever happens to the network and the routers, no key starts twice, a job
-// told not-run has not started, and no key that ran is ever told not-run later.
+// Under random network and router faults, no key may start twice, no refused job may have
+// started, and no key that has run may be reported as not-run later.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newFleet(t, 7, rapid.Uint64Range(1, 1<<30).Draw(rt, "seed"))
@@ -142,6 +144,7 @@
 	})
 }
 
+// randomStep sends an order or injects a fault, chosen at random.
 func randomStep(rt *rapid.T, w *World, k *claim.Key, jobs *[]*Job) {
 	host := rapid.IntRange(0, len(w.Order)-1).Draw(rt, "host")
 	id := w.Order[host]
@@ -166,21 +169,22 @@
 	}
 }
 
+// checkOnce checks that a key ran at most once and that no outcome contradicts it.
 func checkOnce(t require.TestingT, jobs []*Job) {
 	starts := 0
 	for _, j := range jobs {
 		starts += j.Starts
 		if j.Refused != "" {
-			require.Zero(t, j.Starts, "told refused, yet it started")
+			require.Zero(t, j.Starts, "refused, but it had started")
 		}
 		if j.Refused != "" && !j.Doubt {
-			require.Zero(t, startsBefore(jobs, j), "told not-run, yet the key had run")
+			require.Zero(t, startsBefore(jobs, j), "reported as not-run, but the key had run")
 		}
 	}
 	require.LessOrEqual(t, starts, 1, "the key ran more than once")
 }
 
-// startsBefore counts starts of the key by attempts that began before j arrived.
+// startsBefore counts the starts of the key before j arrived.
 func startsBefore(jobs []*Job, j *Job) int {
 	n := 0
 	for _, o := range jobs {
@@ -202,13 +206,13 @@
 	narrowed := twoOrgs
 	narrowed.Orgs = []Org{{Name: "x", Places: []string{"b"}}, {Name: "y", Places: []string{"a"}}}
 	v2 := narrowed.Load(2)
-	// One router learns the new version; the fleet spreads it by itself.
+	// One router receives the new version, and the fleet spreads it.
 	w.Step(w.Hosts[w.Order[5]], core.NewVersion{Version: v2})
 	w.Run(5 * time.Second)
 	for _, id := range w.Order {
 		require.Equal(t, uint64(2), w.Hosts[id].Router.(*core.Node).Version().Number.Revision, id)
 	}
-	w.Version = v2 // from now on the lab's upstreams judge by the new places
+	w.Version = v2 // from now on starts are checked against the new places
 	for _, o := range v2.Organisations {
 		w.setOrganisation(o)
 	}
@@ -217,7 +221,8 @@
 	assert.Positive(t, w.AnsweredRequests[w.Version.ByName("y").ID])
 }
 
-// A place is evacuated by a version that one router learns first, and taken back by the next.
+// A version that one router receives first evacuates a place; the next version ends the
+// evacuation.
 func TestEvacuatedPlaceGetsNoNewRequests(t *testing.T) {
 	w := smallWorld(twoOrgs, 6, 9, core.DefaultSched())
 	w.KeepOpen(w.Version.ByName("x"), "chat", 80, []int{0, 1, 2, 3, 4, 5})
@@ -238,11 +243,11 @@
 	assert.Zero(t, w.ForbiddenStarts)
 	w.Step(w.Hosts[w.Order[1]], core.NewVersion{Version: twoOrgs.Load(3)})
 	w.Run(30 * time.Second)
-	assert.Positive(t, w.ForbiddenStarts, "it was taken back, and gets work again")
+	assert.Positive(t, w.ForbiddenStarts, "the evacuation has ended, so the upstream gets requests again")
 }
 
-// rejudge makes later starts of the organisation's open jobs be checked against
-// its new places.
+// setOrganisation makes later starts of an organisation's open jobs be checked against its
+// new places.
 func (w *World) setOrganisation(o *version.Organisation) {
 	for _, h := range w.Hosts {
 		for _, j := range h.jobs {
@@ -255,20 +260,20 @@
 
 func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	sources := map[string]func(w *World, u version.ID){
-		"one router hears from the upstream itself": func(w *World, u version.ID) {
+		"the upstream itself notifies one router": func(w *World, u version.ID) {
 			w.Step(w.Hosts[w.Order[2]], core.Drain{Upstream: u})
 		},
-		"one router's VM list says so": func(w *World, u version.ID) {
+		"the VM list of one router says so": func(w *World, u version.ID) {
 			w.Step(w.Hosts[w.Order[1]], core.Drain{Upstream: u, Firm: true})
 		},
-		"every router's list says so while the scheduler is cut off": func(w *World, u version.ID) {
+		"the VM list of every router says so while the scheduler is partitioned": func(w *World, u version.ID) {
 			partitionAfter(w, 1)
 			for _, id := range w.Order {
 				w.Step(w.Hosts[id], core.Drain{Upstream: u, Firm: true})
 			}
 		},
 	}
-	for name, tell := range sources {
+	for name, announce := range sources {
 		t.Run(name, func(t *testing.T) {
 			w := smallWorld(twoOrgs, 6, 7, core.DefaultSched())
 			w.KeepOpen(w.Version.ByName("x"), "chat", 80, []int{0, 1, 2, 3, 4, 5})
@@ -277,7 +282,7 @@
 			for id := range w.Version.Upstreams {
 				u = max(u, id)
 			}
-			tell(w, u)
+			announce(w, u)
 			w.Run(5 * time.Second)
 			w.ForbiddenUpstream = u
 			w.Run(55 * time.Second)
@@ -294,10 +299,11 @@
 	for _, id := range w.Order {
 		n := w.Hosts[id].Router.(*core.Node)
 		require.Equal(t, uint64(3), n.Version().Number.Revision)
-		w.Step(w.Hosts[id], core.NewVersion{Version: v2}) // the service was restored
+		w.Step(w.Hosts[id], core.NewVersion{Version: v2}) // as after a restore of the configuration service
 		assert.Equal(t, uint64(3), n.Version().Number.Revision)
 	}
-	// A router restarts empty while the service is stale: peers bring it forward.
+	// A router that restarts while the configuration service is stale gets the newer version
+	// from its peers.
 	w.Version = v2
 	w.Kill(w.Order[4])
 	w.Boot(w.Order[4], "a", settings(core.DefaultSched()))
@@ -349,15 +355,15 @@
 		w.Run(15 * time.Second)
 		w.Link.Drop = 0
 		w.Run(25 * time.Second)
-		hosting := 0
+		schedulers := 0
 		for _, id := range w.Order {
 			v := w.Hosts[id].Router.(*core.Node).View(w.Now)
-			hosting += len(v.Pools)
+			schedulers += len(v.Pools)
 			for _, m := range v.Members {
-				require.NotEmpty(rt, m.Place, "%s does not know where %s stands", id, m.ID)
+				require.NotEmpty(rt, m.Place, "%s does not know the place of %s", id, m.ID)
 			}
 		}
-		require.Equal(rt, 1, hosting)
+		require.Equal(rt, 1, schedulers)
 	})
 }
 
@@ -386,12 +392,12 @@
 	assert.GreaterOrEqual(t, running, 15, "of 16 slots, with work waiting")
 }
 
-// In many quiet pools routers report every few seconds; grants and credits must
-// reach them all the same.
+// In idle pools routers report only every few seconds. Grants and credits must reach them
+// nevertheless.
 func TestNoRequestWaitsWithSpareCapacity(t *testing.T) {
 	t.Parallel()
 	c := Size{Nodes: 12, Engines: 60, Orgs: 12, PerNode: 0.5, Seconds: 20}.Measure()
 	assert.LessOrEqual(t, c.Waiting, 2)
 	assert.Greater(t, c.Running, 100)
-	assert.Less(t, c.Sent, 2048.0, "bytes/s a router")
+	assert.Less(t, c.Sent, 2048.0, "control bytes/s of a router")
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -10,26 +10,26 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Way is one way to decide where a request runs.
+// Strategy is a way of deciding where and when requests run.
 type Strategy struct {
 	Name      string
 	NewRouter func(core.Settings, time.Time) Router // nil for core nodes
 	Sched     sched.Options
 }
 
-// Ways returns the chosen way and its baselines.
+// Strategies returns the baselines and, last, the strategy that routers use.
 func Strategies(routers int) []Strategy {
-	last := core.DefaultSched()
-	last.Horizon, last.Credits = 0, false
+	noLookAhead := core.DefaultSched()
+	noLookAhead.Horizon, noLookAhead.Credits = 0, false
 	return []Strategy{
 		{Name: "each router alone, least loaded", NewRouter: NewLeastLoaded},
 		{Name: "fixed parts of every slot", NewRouter: NewPartitioned(routers)},
-		{Name: "scheduler, no look-ahead", Sched: last},
+		{Name: "scheduler, no look-ahead", Sched: noLookAhead},
 		{Name: "scheduler, look-ahead and credits", Sched: core.DefaultSched()},
 	}
 }
 
-// Fault is what goes wrong during a scenario.
+// Fault is a fault that is injected during a scenario.
 type Fault string
 
 // The faults of the bench.
@@ -39,47 +39,48 @@
 	FaultPartition  Fault = "60 s cut, 5 routers from 3"
 	FaultFlood      Fault = "one organisation sends 100 times its share"
 	FaultWrongHints Fault = "all cost hints wrong by 10 times"
-	// FaultDelayedReads is for tests alone: the router by which one organisation comes in reads
-	// what it is told late, while another one floods by all.
+	// FaultDelayedReads is for tests only: the router that receives one organisation's requests
+	// reads its datagrams late, while another organisation floods all routers.
 	FaultDelayedReads Fault = "one organisation's router reads 300 ms late"
 )
 
-// Faults lists them in the order of the table.
+// Faults lists the faults of the bench in the order of its table.
 var Faults = []Fault{FaultNone, FaultKill, FaultPartition, FaultFlood, FaultWrongHints}
 
-// Sizes of the bench.
+// Sizes and durations of the bench.
 const (
 	Routers           = 8
 	engines           = 20
 	slots             = 32
-	backloggedOrgs    = 6
-	smallOrgs         = 10
-	warmUpDuration    = 120 * time.Second // the organisation that comes first holds every slot at the start
+	backloggedOrgs    = 6                 // organisations that always have waiting requests
+	smallOrgs         = 10                // organisations with few requests
+	warmUpDuration    = 120 * time.Second // until the first organisation no longer holds every slot, as it does at the start
 	measureDuration   = 400 * time.Second
 	faultDelay        = 100 * time.Second
 	partitionDuration = 60 * time.Second
-	partitionSize     = 5 // routers on the first side
-	firstOrgOpen      = 1600
+	partitionSize     = 5    // number of routers on the first side of the partition
+	firstOrgOpen      = 1600 // open requests of the first backlogged organisation
 	readDelay         = 300 * time.Millisecond
-	backloggedOrgOpen = 300
-	smallOrgOpen      = 4
-	minSpeed          = 0.7 // engines' speeds, of the usual
+	backloggedOrgOpen = 300 // open requests of each other backlogged organisation
+	smallOrgOpen      = 4   // open requests of each small organisation
+	minSpeed          = 0.7 // of engines, relative to the normal speed
 	maxSpeed          = 1.3
 )
 
-// entries says by which routers each backlogged organisation enters.
+// entryRouters lists, for each backlogged organisation, the routers that receive its
+// requests.
 var entryRouters = [][]int{{0, 1, 2, 3, 4, 5, 6, 7}, {0}, {1, 2}, {3}, {3, 6}, {7}}
 
-// Result is one run's figures.
+// Result holds the measurements of a run.
 type Result struct {
-	Gap         float64 // largest, in largest requests
-	Utilisation float64
-	Control     float64 // bytes/s a router
-	Busiest     float64 // bytes/s of the router that sent most
-	Strays      int
+	Gap         float64 // largest gap between backlogged organisations, in largest requests
+	Utilisation float64 // ratio of used slots to all slots
+	Control     float64 // control bytes/s sent by a router, mean
+	Busiest     float64 // control bytes/s of the router that sent most
+	Strays      int     // starts outside the allowed places
 }
 
-// Scenario is one run of the bench.
+// Scenario describes a run of the bench.
 type Scenario struct {
 	Strategy Strategy
 	Fault    Fault
@@ -87,7 +88,7 @@
 	Seed     uint64
 }
 
-// Run plays the scenario and returns its figures.
+// Run simulates the scenario and returns its measurements.
 func (s Scenario) Run() Result {
 	fleet := Fleet{Places: []string{"a", "b", "c", "d"}, Engines: engines, Slots: slots}
 	for i := range backloggedOrgs + smallOrgs {
@@ -99,19 +100,19 @@
 	}
 	w.BootAll(Routers, fleet.Places, core.Settings{Sched: s.Strategy.Sched})
 	w.Run(2 * time.Second)
-	back := s.openRequests(w)
+	backlogged := s.openRequests(w)
 	w.Run(warmUpDuration)
 	for id := range w.SentBytes {
 		w.SentBytes[id] = 0
 	}
-	meter := w.StartMeter(back, engines*slots, s.serviceFunc(w))
+	meter := w.StartMeter(backlogged, engines*slots, s.serviceFunc(w))
 	w.Run(faultDelay)
 	s.injectFault(w)
 	w.Run(measureDuration - faultDelay)
 	return s.result(w, meter)
 }
 
-// hint is the published hint, in tokens; the true mean is near 465.
+// hintTokens returns the published cost hint. The true mean is near 465 tokens.
 func (s Scenario) hintTokens() int {
 	if s.Fault == FaultWrongHints {
 		return 4650
@@ -119,6 +120,7 @@
 	return 465
 }
 
+// anyPool returns one of the pools; the bench has a single one.
 func (w *World) anyPool() version.ID {
 	for id := range w.Version.Pools {
 		return id
@@ -126,7 +128,7 @@
 	return 0
 }
 
-// BootAll starts a number of routers over the places in turn.
+// BootAll starts n routers, assigned to the places in turn, that know each other.
 func (w *World) BootAll(n int, places []string, opt core.Settings) {
 	for i := range n {
 		w.Peers = append(w.Peers, wire.NodeID(fmt.Sprintf("10.0.0.%d:7100", i+1)))
@@ -137,11 +139,12 @@
 	}
 }
 
+// openRequests starts the callers of all organisations and returns the backlogged ones.
 func (s Scenario) openRequests(w *World) []*version.Organisation {
-	var back []*version.Organisation
+	var backlogged []*version.Organisation
 	for i, hosts := range entryRouters {
 		o := w.Version.ByName(fmt.Sprintf("o%02d", i))
-		back = append(back, o)
+		backlogged = append(backlogged, o)
 		open := backloggedOrgOpen
 		if i == 0 {
 			open = firstOrgOpen
@@ -151,10 +154,11 @@
 	for i := range smallOrgs {
 		w.KeepOpen(w.Version.ByName(fmt.Sprintf("o%02d", backloggedOrgs+i)), "chat", smallOrgOpen, []int{i % Routers})
 	}
-	return back
+	return backlogged
 }
 
-// value counts service in the scenario's unit, in parts of the largest request.
+// serviceFunc returns a function that returns each organisation's service in the scenario's
+// unit: answered requests, or tokens as a multiple of the largest request.
 func (s Scenario) serviceFunc(w *World) func() map[version.ID]float64 {
 	if s.Unit == version.UnitTokens {
 		return w.TokenService
@@ -168,6 +172,7 @@
 	}
 }
 
+// injectFault starts the scenario's fault.
 func (s Scenario) injectFault(w *World) {
 	switch s.Fault {
 	case FaultKill:
@@ -187,7 +192,7 @@
 	}
 }
 
-// busiest returns the router that sent most: the scheduler's.
+// busiest returns the router that sent most control bytes: the scheduler.
 func (w *World) busiest() wire.NodeID {
 	best := w.Order[0]
 	for _, id := range w.Order {
@@ -198,6 +203,7 @@
 	return best
 }
 
+// result returns the measurements since the counters were reset.
 func (s Scenario) result(w *World, m *Meter) Result {
 	r := Result{Gap: m.Gap, Utilisation: m.Utilisation(), Strays: w.Strays}
 	for _, id := range w.Order {
--- a/internal/lab/tokens/arrivals.go
+++ b/internal/lab/tokens/arrivals.go
@@ -9,10 +9,10 @@
 	"github.com/silverswitch/silverswitch/internal/engine"
 )
 
-// floodOrg is the organisation that floods, one of middle size.
+// floodOrg is the organisation that floods; it is of medium size.
 const floodOrg = 6
 
-// arrivals draws what callers send in this millisecond.
+// drawArrivals submits the requests that callers send in this millisecond.
 func (w *world) drawArrivals() {
 	for i := range classes {
 		c := &classes[i]
@@ -25,15 +25,15 @@
 	}
 }
 
-// rates are the parts of the whole load that organisations send.
+// loadRatios returns each organisation's load as a ratio of the normal total load.
 func (w *world) loadRatios() []float64 {
 	total := 0.0
-	for _, x := range orgWeights {
-		total += x
+	for _, weight := range orgWeights {
+		total += weight
 	}
 	out := make([]float64, len(orgWeights))
-	for i, x := range orgWeights {
-		out[i] = x / total
+	for i, weight := range orgWeights {
+		out[i] = weight / total
 		if w.FloodFactor > 0 && w.isFlooding() && (i == floodOrg || w.hasTwoFloods() && i == secondFloodOrg) {
 			out[i] *= w.FloodFactor
 		}
@@ -41,7 +41,7 @@
 	return out
 }
 
-// poisson draws a small count.
+// poisson draws from a Poisson distribution, up to 50.
 func (w *world) poisson(mean float64) int {
 	n, p, limit := 0, w.rnd.Float64(), math.Exp(-mean)
 	for sum := limit; p > sum && n < 50; {
@@ -52,13 +52,14 @@
 	return n
 }
 
+// arrive draws a request of a class and submits it.
 func (w *world) arrive(c *class, org int) {
-	thing := w.rnd.IntN(c.ownVariants)
-	first := w.rnd.IntN(c.baseVariants)
+	own := w.rnd.IntN(c.ownVariants)
+	base := w.rnd.IntN(c.baseVariants)
 	w.lastID++
 	parts := []engine.Part{
-		{ID: partID(c, 1, first), Tokens: c.baseTokens},
-		{ID: partID(c, 2, first*1000+thing), Tokens: c.ownTokens},
+		{ID: partID(c, 1, base), Tokens: c.baseTokens},
+		{ID: partID(c, 2, base*1000+own), Tokens: c.ownTokens},
 		{ID: 1<<40 + w.lastID, Tokens: int(w.logNormal(c.meanPromptTokens, c.promptSigma, c.maxPromptTokens))},
 	}
 	k := &call{class: c, org: org, parts: parts, arrivedAt: w.now}
@@ -73,6 +74,8 @@
 	w.submit(k)
 }
 
+// partID returns the ID of the no-th shared part of a class; level is its position in the
+// prompt.
 func partID(c *class, level, no int) uint64 {
 	for i := range classes {
 		if &classes[i] == c {
@@ -84,13 +87,14 @@
 
 func orgName(i int) string { return "organisation-" + string(rune('a'+i)) }
 
-// logNormal draws from a skewed distribution of a mean, up to a most.
-func (w *world) logNormal(mean, spread, most float64) float64 {
-	return min(most, max(1, mean*math.Exp(spread*w.rnd.NormFloat64()-spread*spread/2)))
+// logNormal draws from a log-normal distribution with the given mean, limited to the range
+// from 1 to limit.
+func (w *world) logNormal(mean, sigma, limit float64) float64 {
+	return min(limit, max(1, mean*math.Exp(sigma*w.rnd.NormFloat64()-sigma*sigma/2)))
 }
 
-// submit brings a request to a router. Organisations come in unevenly: most of one's
-// callers lie at two routers.
+// submit sends a call to a router, unless the router's load shedder refuses it.
+// Organisations are spread unevenly: most of an organisation's calls arrive at two routers.
 func (w *world) submit(c *call) {
 	var live []wire.NodeID
 	for _, id := range w.order {
@@ -116,10 +120,10 @@
 	w.nodes[c.router].Step(dispatch.Arrive{Request: c.req}, w.now)
 }
 
-// Standard returns the scenarios that are compared, without and with trouble.
+// Standard returns the scenarios of the bench, with callers that send for a duration d.
 func Standard(d time.Duration) map[string]Scenario {
 	return map[string]Scenario{
-		"quiet":  {Duration: d, LoadFactor: 0.66}, // two thirds of the usual
+		"quiet":  {Duration: d, LoadFactor: 0.66}, // two thirds of the normal load
 		"calm":   {Duration: d, LoadFactor: 1},
 		"busy":   {Duration: d, LoadFactor: 1.4},
 		"flood":  {Duration: d, LoadFactor: 1, FloodFactor: 8},
--- a/internal/lab/tokens/calls.go
+++ b/internal/lab/tokens/calls.go
@@ -10,6 +10,7 @@
 	"github.com/silverswitch/silverswitch/internal/engine"
 )
 
+// call is a caller's request, which is retried once when it is refused.
 type call struct {
 	class      *class
 	org        int
@@ -20,10 +21,11 @@
 	placedAt   time.Time
 	sentAt     time.Time
 	tries      int
-	expectedMS float64 // milliseconds to the first event
+	expectedMS float64 // expected time to the first event
 	engine     string
 }
 
+// sendToEngine sends a placed request to its engine.
 func (w *world) sendToEngine(o dispatch.Place) {
 	c := w.calls[o.ID]
 	if c == nil || w.nodes[c.router] == nil {
@@ -55,23 +57,25 @@
 	return -1
 }
 
-// countRereads counts shared parts that will be read though some engine has read them
-// lately.
+// countRereads counts the tokens of shared parts that the engine will read although some
+// engine has read them recently.
 func (w *world) countRereads(c *call, e *engine.Engine, source engine.PrefixCache) {
-	have := e.Prefix(c.parts)
+	cached := e.Prefix(c.parts)
 	if source != nil {
-		have = max(have, source.Prefix(c.parts))
+		cached = max(cached, source.Prefix(c.parts))
 	}
 	n := 0
 	for _, p := range c.parts[:len(c.parts)-1] {
 		n += p.Tokens
-		if last, used := w.lastUsed[p.ID]; n > have && used && w.now.Sub(last) < rereadWindow {
+		if last, used := w.lastUsed[p.ID]; n > cached && used && w.now.Sub(last) < rereadWindow {
 			w.res.ReadAgain += p.Tokens
 		}
 		w.lastUsed[p.ID] = w.now
 	}
 }
 
+// retryRefused schedules the retry of a refused call. After a second refusal the call is
+// counted as refused.
 func (w *world) retryRefused(o dispatch.Refuse) {
 	c := w.calls[o.ID]
 	if c == nil {
@@ -87,20 +91,22 @@
 	w.retryAt = append(w.retryAt, w.now.Add(o.After))
 }
 
-// sendRetries sends refused requests again, by another router, when they were told to.
+// sendRetries submits the refused calls whose retry is due.
 func (w *world) sendRetries() {
 	var retries []*call
-	var at []time.Time
+	var times []time.Time
 	for i, c := range w.retries {
 		if w.retryAt[i].After(w.now) {
-			retries, at = append(retries, c), append(at, w.retryAt[i])
+			retries, times = append(retries, c), append(times, w.retryAt[i])
 			continue
 		}
 		w.submit(c)
 	}
-	w.retries, w.retryAt = retries, at
+	w.retries, w.retryAt = retries, times
 }
 
+// recordFirstEvent records the first event of a call: the predicted and the actual time, and
+// whether it met the target.
 func (w *world) recordFirstEvent(c *call, at time.Time) {
 	w.countStarted(c, at)
 	w.predictedMS = append(w.predictedMS, c.expectedMS)
@@ -117,6 +123,7 @@
 	w.window(c.arrivedAt).inTime[c.org] += dispatch.Cost(c.req.Input, c.req.Output)
 }
 
+// result returns the measurements at the end of a run.
 func (w *world) result() Result {
 	w.owed()
 	w.res.Fair = w.fair.worst(int(w.Duration / time.Second))
--- a/internal/lab/tokens/fair.go
+++ b/internal/lab/tokens/fair.go
@@ -7,42 +7,45 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// How far organisations that wait fall behind the best served one, as the users judge it:
-// in six seconds an organisation that is refused, or waits past its target, in each of
-// them begins at least half of what it asked or the best served one began, whichever is
-// less second by second, less three of the largest requests.
+// The users' rule for how far an organisation may fall behind the best served one: if, in
+// each of six seconds, requests of an organisation are refused or miss their target, it must
+// start at least half of what it requested or of what the best served one started, whichever
+// is less in each second, minus three of the largest requests.
 
 const (
-	fairWindowSeconds = 6 // seconds
-	fairSlackRequests = 3 // of the largest requests
+	fairWindowSeconds = 6
+	fairSlackRequests = 3 // largest requests
 	minFairRatio      = 0.5
-	maxFairSeconds    = 64 // a run's longest time that is judged
+	maxFairSeconds    = 64 // longest run that is measured
 )
 
-// second is what one organisation asked for, began and missed in a second, in tokens as
-// shares are counted.
+// second holds what an organisation requested and started in a second, in tokens as shares
+// count them, and whether a request was refused or missed its target.
 type second struct {
 	requested, started float64
 	waited             bool
 }
 
-// fairness follows all organisations second by second.
+// fairness records all organisations second by second.
 type fairness struct {
 	orgs           [16][maxFairSeconds]second
 	largestRequest float64
 }
 
+// second returns the record of an organisation at a time.
 func (w *world) second(org int, at time.Time) *second {
 	i := int(at.Sub(startTime.Add(warmUpDuration)) / time.Second)
 	return &w.fair.orgs[org][min(max(i, 0), maxFairSeconds-1)]
 }
 
+// countRequested records a submitted call.
 func (w *world) countRequested(c *call) {
 	cost := dispatch.Cost(c.req.Input, c.req.Output)
 	w.fair.largestRequest = max(w.fair.largestRequest, cost)
 	w.second(c.org, w.now).requested += cost
 }
 
+// countStarted records the first event of a call.
 func (w *world) countStarted(c *call, at time.Time) {
 	s := w.second(c.org, at)
 	s.started += dispatch.Cost(c.req.Input, c.req.Output)
@@ -51,8 +54,8 @@
 	}
 }
 
-// least returns the least of what an organisation that waited all through a window began,
-// over what it is to begin at least: from 1 on the run was fair.
+// worst returns the smallest ratio, over all windows, of what an organisation that waited in
+// each second started to what it must start. The run was fair if it is at least 1.
 func (f *fairness) worst(seconds int) float64 {
 	worst := math.Inf(1)
 	for from := 0; from+fairWindowSeconds <= min(seconds, maxFairSeconds); from++ {
@@ -66,7 +69,7 @@
 	return worst
 }
 
-// best returns the organisation that began most in a window.
+// best returns the organisation that started most in a window.
 func (f *fairness) best(from int) int {
 	best, most := 0, -1.0
 	for org := range f.orgs {
@@ -77,6 +80,7 @@
 	return best
 }
 
+// started returns what an organisation started in a window.
 func (f *fairness) started(org, from int) float64 {
 	sum := 0.0
 	for _, s := range f.orgs[org][from : from+fairWindowSeconds] {
@@ -85,16 +89,18 @@
 	return sum
 }
 
-// minRatio returns the least of what an organisation began over what another one did, in
-// any window between two seconds.
+// minRatio returns the smallest ratio, over all windows between two seconds, of what an
+// organisation started to what another one started.
 func (f *fairness) minRatio(org, other, from, to int) float64 {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for ; from+fairWindowSeconds <= to; from++ {
-		least = min(least, f.started(org, from)/max(1, f.started(other, from)))
+		lowest = min(lowest, f.started(org, from)/max(1, f.started(other, from)))
 	}
-	return least
+	return lowest
 }
 
+// ratio returns the ratio of what an organisation started in a window, with the slack, to
+// what it must start; it is infinite if the organisation did not wait in each second.
 func (f *fairness) ratio(org, best, from int) float64 {
 	due := 0.0
 	for i, s := range f.orgs[org][from : from+fairWindowSeconds] {
--- a/internal/lab/tokens/loadshedder.go
+++ b/internal/lab/tokens/loadshedder.go
@@ -6,35 +6,38 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// A router that is short of processor refuses at its door, without asking, what it is told
-// that shares do not cover. It tells what it refused, and asks for the rest.
+// An overloaded router's load shedder refuses requests beyond the ratio that the shares
+// cover, without a placement request. The router reports the shed work to the scheduler, and
+// requests placements for the rest.
 
 const (
-	// admitRatioInterval is how often the door is told what to let in.
+	// admitRatioInterval is how often the ratios of requests to admit are updated from the
+	// node.
 	admitRatioInterval = 100 * time.Millisecond
-	// shedReportInterval is how often the node is told what the door refused.
+	// shedReportInterval is how often shed work is reported to the node.
 	shedReportInterval = 200 * time.Millisecond
-	// shedRetryAfter is when a caller that the door refuses may come back.
+	// shedRetryAfter is the Retry-After of a shed request.
 	shedRetryAfter = 100 * time.Millisecond
 )
 
-// loadShedder is what the door of the late router goes by.
+// loadShedder is the state of the overloaded router's load shedder.
 type loadShedder struct {
-	admitRatios map[string]float64 // by organisation, let in
-	shedTokens  map[string]float64 // tokens that the node was not told of
+	admitRatios map[string]float64 // of requests to admit, by organisation
+	shedTokens  map[string]float64 // not yet reported to the node, by organisation
 }
 
 func newLoadShedder() loadShedder {
 	return loadShedder{admitRatios: map[string]float64{}, shedTokens: map[string]float64{}}
 }
 
-// shed decides at the door, and counts what it refuses.
+// shed reports whether the load shedder refuses a call. If so, the call is counted and
+// refused.
 func (w *world) shed(c *call) bool {
 	if !w.LoadShedding || !w.isFlooding() || c.router != w.overloadedRouter() {
 		return false
 	}
-	part, known := w.shedder.admitRatios[c.req.Org]
-	if !known || w.rnd.Float64() < part {
+	ratio, known := w.shedder.admitRatios[c.req.Org]
+	if !known || w.rnd.Float64() < ratio {
 		return false
 	}
 	w.shedder.shedTokens[c.req.Org] += dispatch.Cost(c.req.Input, c.req.Output)
@@ -42,7 +45,7 @@
 	return true
 }
 
-// tickShedder brings news between the door and its node.
+// tickShedder updates the ratios from the node, and reports shed work to it, when due.
 func (w *world) tickShedder() {
 	n := w.nodes[w.overloadedRouter()]
 	if !w.LoadShedding || n == nil {
--- a/internal/lab/tokens/overload.go
+++ b/internal/lab/tokens/overload.go
@@ -7,24 +7,25 @@
 	"github.com/silverswitch/silverswitch/internal/dispatch"
 )
 
-// A router that is short of processor, as one of a fifth of a core is that takes a
-// thousand requests a second: its timers are served first, but what it is told lies
-// unread, what it is to send lies unsent, and what it saw it tells late.
+// An overloaded router is short of CPU, as a router with a fifth of a core is at a thousand
+// requests a second. Its timers run on time, but it reads datagrams late, sends requests
+// late, and reports events late.
 
 const (
-	// overloadReadDelay is how long a datagram lies unread at the late router; longer than it
-	// waits for its scheduler.
+	// overloadReadDelay is how long a datagram stays unread at the overloaded router. It is
+	// longer than the router waits for a placement reply.
 	overloadReadDelay = 150 * time.Millisecond
-	// overloadSendDelay is how long a request lies there between its placement and its sending.
+	// overloadSendDelay is how long the overloaded router takes to send a request after its
+	// placement.
 	overloadSendDelay = 700 * time.Millisecond
-	// overloadPeriod and overloadDuration say when the router is late: it keeps up in between, as its
-	// callers' flood comes in waves.
+	// The router is overloaded for overloadDuration in each overloadPeriod, and keeps up in
+	// between, as its callers' flood comes in waves.
 	overloadPeriod   = 4 * time.Second
 	overloadDuration = 3 * time.Second
 )
 
-// overloadedOrg and secondFloodOrg flood in a run with a late router: one by that router, one by
-// another.
+// overloadedOrg and secondFloodOrg flood in a run with an overloaded or load shedding
+// router: the first through that router, the second through another one.
 const (
 	overloadedOrg  = floodOrg
 	secondFloodOrg = 3
@@ -34,21 +35,21 @@
 
 func (w *world) secondFloodRouter() wire.NodeID { return w.order[len(w.order)-2] }
 
-// isOverloaded reports whether a router is late now.
+// isOverloaded reports whether a router is overloaded now.
 func (w *world) isOverloaded(id wire.NodeID) bool {
 	return w.Overloaded && id == w.overloadedRouter() && w.isFlooding() && w.now.Sub(startTime)%overloadPeriod < overloadDuration
 }
 
-// hasTwoFloods reports whether two organisations flood, each by a router of its own.
+// hasTwoFloods reports whether two organisations flood, each through a router of its own.
 func (w *world) hasTwoFloods() bool { return w.Overloaded || w.LoadShedding }
 
-// floods reports whether the middle third of the run has come.
+// isFlooding reports whether the run is in its middle third, in which organisations flood.
 func (w *world) isFlooding() bool {
 	at := w.now.Sub(startTime) - warmUpDuration
 	return at > w.Duration/3 && at < 2*w.Duration/3
 }
 
-// entry returns the router by which a call comes in when that does not depend on luck.
+// fixedRouter returns the router that receives a call, if it is not drawn at random.
 func (w *world) fixedRouter(c *call) (wire.NodeID, bool) {
 	switch {
 	case !w.hasTwoFloods():
@@ -61,13 +62,13 @@
 	return "", false
 }
 
-// delayed is something that a late router does later.
+// delayed is an action that an overloaded router takes later.
 type delayed struct {
 	at time.Time
 	do func()
 }
 
-// soon does something now, or later when the router is late.
+// doOrDelay calls do now, or after a delay if the router is overloaded.
 func (w *world) doOrDelay(id wire.NodeID, after time.Duration, do func()) {
 	if !w.isOverloaded(id) {
 		do()
@@ -76,11 +77,11 @@
 	w.delayed = append(w.delayed, delayed{w.now.Add(after), do})
 }
 
-// runDelayed does what has been put off.
+// runDelayed runs the delayed actions that are due.
 func (w *world) runDelayed() {
-	due := w.delayed
+	pending := w.delayed
 	w.delayed = nil
-	for _, d := range due {
+	for _, d := range pending {
 		if d.at.After(w.now) {
 			w.delayed = append(w.delayed, d)
 			continue
@@ -89,7 +90,7 @@
 	}
 }
 
-// tell gives a router an input, late when it is late.
+// deliverInput passes an input to a router, after overloadReadDelay if it is overloaded.
 func (w *world) deliverInput(id wire.NodeID, in dispatch.Input) {
 	w.doOrDelay(id, overloadReadDelay, func() {
 		if n := w.nodes[id]; n != nil {
--- a/internal/lab/tokens/overload_test.go
+++ b/internal/lab/tokens/overload_test.go
@@ -7,13 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two organisations flooded, each by one small router, and one of them began a third of
-// what the other did while both were refused in every second. A router that was short of
-// processor read its scheduler's answers too late and decided alone: nothing for seconds,
-// while an old word said that the organisation had had its share, then whatever came, 524
-// requests and 1.83 million tokens in one second, twice the share of four. The others were
-// refused for what that router said it had placed (expected wait 595 ms at the median
-// engine, which had nothing to read), and its own organisation for the next four seconds.
+// Guards against unfair local decisions at an overloaded router: two organisations flooded,
+// each through one small router, and one of them started a third of what the other did while
+// both were refused requests in every second. A router short of CPU read the scheduler's
+// placement replies too late and made local decisions: it placed nothing for seconds, while an
+// old share update said that the organisation had received its share, and then all requests
+// that came, 524 requests and 1.83 million tokens in one second, twice the share of four
+// seconds. Because of what that router reported as placed, other organisations were refused
+// (expected wait 595 ms at the median engine, which had nothing to read), and its own
+// organisation was refused for the next four seconds.
 func TestFloodAtOverloadedRouterKeepsShares(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/lab/tokens/owed.go
+++ b/internal/lab/tokens/owed.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// windowDuration is the time over which the users count what an organisation is owed.
+// windowDuration is the duration of the windows in which the users count what an
+// organisation is owed.
 const windowDuration = 4 * time.Second
 
-// window is what organisations asked for and got in time, in tokens as shares are
-// counted, by when the requests came.
+// window holds, for each organisation, the tokens that it requested and those that were
+// served within the target latency, as shares count tokens, by the arrival of the requests.
 type window struct{ requested, inTime [16]float64 }
 
+// window returns the window of a time.
 func (w *world) window(at time.Time) *window {
 	i := int(at.Sub(startTime.Add(warmUpDuration)) / windowDuration)
 	for len(w.windows) <= i {
@@ -20,21 +22,21 @@
 	return &w.windows[i]
 }
 
-// owed works out what the users count: in each window an organisation is owed its
-// max-min share of the stated capacity; what it asks beyond is neither owed nor
-// missed.
+// owed computes the results as the users count them: in each window an organisation is owed
+// its max-min fair share of the stated capacity. What it requests beyond that is neither
+// owed nor counted as missed.
 func (w *world) owed() {
 	var owed, served, beyond float64
 	var orgOwed, orgServed [16]float64
 	for _, win := range w.windows {
 		shares := maxMin(win.requested[:], capacity*windowDuration.Seconds())
 		for i, share := range shares {
-			in := min(win.inTime[i], share)
+			withinShare := min(win.inTime[i], share)
 			owed += share
-			served += in
-			beyond += win.inTime[i] - in
+			served += withinShare
+			beyond += win.inTime[i] - withinShare
 			orgOwed[i] += share
-			orgServed[i] += in
+			orgServed[i] += withinShare
 		}
 	}
 	w.res.Least = 1
@@ -46,7 +48,7 @@
 	w.res.Owed, w.res.Beyond = served/owed, beyond/owed
 }
 
-// maxMin divides a capacity between demands by progressive filling.
+// maxMin divides a capacity between demands by max-min fairness (progressive filling).
 func maxMin(demands []float64, total float64) []float64 {
 	order := make([]int, len(demands))
 	for i := range order {
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -1,8 +1,8 @@
-// Package tokens drives the dispatch of the routed interface before modelled
-// engines: many decision cores in one process, a network with a delay, callers in
-// organisations that send as they do at the users'. Time is an argument, so a run
-// follows from its seed. It measures who is served in time, what is read again, how
-// well the model of engines predicts, and what control costs.
+// Package tokens simulates the dispatch of the routed interface with simulated engines: many
+// decision cores in one process, a network with a delay, and callers of several
+// organisations with the load that users have. Time is an argument, so a run is determined
+// by its seed. It measures which organisations are served in time, how much is read again,
+// how well the prefill model predicts, and the control traffic.
 package tokens
 
 import (
@@ -18,30 +18,31 @@
 	"github.com/silverswitch/silverswitch/internal/routing"
 )
 
-// Sizes and rates of the world. Source: an operator's sheet.
+// Sizes and rates of the simulation, from an operator's figures.
 const (
 	Routers     = 6
 	Engines     = 18
 	places      = 3
-	linkDelay   = time.Millisecond // one way, between routers
+	linkDelay   = time.Millisecond // one-way delay between routers
 	serviceName = "model"
 	// capacity is the tokens a second that the operators state for the service.
 	capacity = 390_000
-	// sealed is what sealing, UDP and IPv4 add to a datagram, in bytes.
+	// datagramOverheadBytes is what encryption, UDP and IPv4 add to a datagram.
 	datagramOverheadBytes = 56
 )
 
-// class is one kind of request.
+// class is a kind of request. A prompt has three parts: a base part, a second part that
+// extends it, both shared by many requests, and a part of the single request.
 type class struct {
 	name                  string
 	perSecond             float64
-	baseTokens, ownTokens int     // tokens of the shared parts, mean
-	ownVariants           int     // how many different own shared parts
-	meanPromptTokens      float64 // mean of the last part, its own
+	baseTokens, ownTokens int     // of the two shared parts
+	ownVariants           int     // number of different second parts for each base part
+	meanPromptTokens      float64 // of the part of the single request
 	meanOutputTokens      float64
 	target                time.Duration
 	deadline              time.Duration
-	baseVariants          int // how many different first parts
+	baseVariants          int // number of different base parts
 	maxPromptTokens       float64
 	promptSigma           float64
 }
@@ -52,44 +53,47 @@
 	{"drill-stream", 76.9, 103, 69, 120, 543, 280, time.Second, 15 * time.Second, 20, 2310, 0.89},
 }
 
-// Scenario is one run.
+// Scenario describes a run.
 type Scenario struct {
 	Seed          uint64
-	Duration      time.Duration
-	LoadFactor    float64 // times the rates of the sheet
-	FloodFactor   float64 // times its usual that one organisation sends in the middle third
-	KillScheduler bool    // the scheduler's router dies in the middle
-	Routers       int     // 0 is Routers
-	Overloaded    bool    // two organisations flood, one of them by a router short of processor
-	LoadShedding  bool    // two organisations flood, one of them by a router that refuses at its door
+	Duration      time.Duration // how long callers send
+	LoadFactor    float64       // of the normal load
+	FloodFactor   float64       // of one organisation's normal load, in the middle third; 0 for no flood
+	KillScheduler bool          // kill the scheduler halfway
+	Routers       int           // 0 for Routers
+	Overloaded    bool          // two organisations flood, one of them through an overloaded router
+	LoadShedding  bool          // two organisations flood, one of them through a load shedding router
 	Without       dispatch.Without
-	Engine        engine.Config // of every engine; the zero value is engine.DefaultFigures
+	Engine        engine.Config // of all engines; the zero value stands for engine.DefaultConfig
 }
 
-// Result is what a run showed.
+// Result holds the measurements of a run.
 type Result struct {
 	Asked, InTarget, Late, Refused int
-	Owed                           float64 // tokens served in target of those owed: see owed.go
-	Least                          float64 // the same of the worst served organisation
-	Beyond                         float64 // tokens served in target beyond what was owed, in parts of what was
-	Busy                           float64 // part of the time in which an engine reads a prompt
-	ReadAgain                      int     // tokens of shared parts that some engine had read lately
-	Fetched                        int
-	Control                        float64 // bytes a second a router sends
+	Owed                           float64 // tokens served within the target latency and owed, as a ratio of those owed: see owed.go
+	Least                          float64 // the same for the worst served organisation
+	Beyond                         float64 // tokens served within the target latency beyond those owed, as a ratio of those owed
+	Busy                           float64 // ratio of the time in which an engine has an unread prompt
+	ReadAgain                      int     // tokens of shared parts read although some engine had read them recently
+	Fetched                        int     // tokens fetched from other engines
+	Control                        float64 // control bytes/s sent by a router
 	Predicted, Seen                [3]float64
-	Ratio                          [3]float64 // seen over predicted, request by request, once learned
-	Fair                           float64    // see fair.go: 1 and more is fair
+	Ratio                          [3]float64 // seen time over predicted time of each request, once the model has learned
+	Fair                           float64    // see fair.go: the run was fair if at least 1
 }
 
-// Quantiles of Predicted and Seen times to the first event, in milliseconds.
+// Quantiles are the quantiles in Predicted, Seen (times to the first event, in milliseconds)
+// and Ratio.
 var Quantiles = [3]float64{0.5, 0.9, 0.99}
 
+// inFlight is a datagram in transit.
 type inFlight struct {
 	at time.Time
 	to wire.NodeID
 	d  *wire.Datagram
 }
 
+// world is a simulation and its measurements.
 type world struct {
 	Scenario
 	rnd         *rand.Rand
@@ -99,7 +103,7 @@
 	engines     map[string]*engine.Engine
 	ids         []string
 	calls       map[uint64]*call
-	retries     []*call // refused, to come back
+	retries     []*call // refused calls, to be retried at the times in retryAt
 	retryAt     []time.Time
 	inFlight    []inFlight
 	lastID      uint64
@@ -108,7 +112,7 @@
 	fair        fairness
 	delayed     []delayed
 	shedder     loadShedder
-	readingMS   int // engine milliseconds with prompts unread
+	readingMS   int // summed over the engines that have an unread prompt
 	lastUsed    map[uint64]time.Time
 	res         Result
 	predictedMS []float64
@@ -116,7 +120,7 @@
 	ratios      []float64
 }
 
-// weights of the organisations: a few are large.
+// orgWeights are the relative loads of the organisations; a few are large.
 var orgWeights = func() []float64 {
 	var w []float64
 	for i := range 16 {
@@ -127,7 +131,7 @@
 
 var startTime = time.Unix(1_800_000_000, 0)
 
-// Run plays a scenario.
+// Run simulates the scenario and returns its measurements.
 func (s Scenario) Run() (Result, error) {
 	w, err := s.simulate()
 	if err != nil {
@@ -136,7 +140,7 @@
 	return w.result(), nil
 }
 
-// play returns the world at the end of a scenario.
+// simulate returns the world at the end of the scenario.
 func (s Scenario) simulate() (*world, error) {
 	w := &world{Scenario: s, rnd: rand.New(rand.NewPCG(s.Seed, 7)), now: startTime, nodes: map[wire.NodeID]*dispatch.Node{}, engines: map[string]*engine.Engine{},
 		calls: map[uint64]*call{}, lastUsed: map[uint64]time.Time{}, shedder: newLoadShedder()}
@@ -160,17 +164,19 @@
 }
 
 const (
-	// warmUpDuration is how long routers have to know each other before callers send.
+	// warmUpDuration is how long routers have to join the fleet before callers send.
 	warmUpDuration = 3 * time.Second
-	// learnDuration is how long after the first callers engines that nobody knows are learned.
+	// learnDuration is how long, from the first requests on, the prefill model learns the
+	// engines, before its predictions are measured.
 	learnDuration = 5 * time.Second
-	// tail is how long the last requests have to end.
+	// drainDuration is how long the last requests have to end.
 	drainDuration = 8 * time.Second
-	// recent is how long after its last use a part that is read again counts, as at
-	// the users'.
+	// rereadWindow is how long after its last use a part counts as read again, as the users
+	// count it.
 	rereadWindow = 7200 * time.Millisecond
 )
 
+// boot starts the engines and the routers, with a table and a list of instances.
 func (w *world) boot() error {
 	b := routing.Builder{Number: 1, Limits: routing.Limits{TokensPerSecond: capacity}}
 	f := w.Engine
@@ -210,10 +216,10 @@
 
 func placeName(i int) string { return fmt.Sprintf("p%d", i%places) }
 
-// step moves the world on by one millisecond.
-func (w *world) step(load bool) {
+// step advances the simulation by one millisecond.
+func (w *world) step(callersSend bool) {
 	w.now = w.now.Add(time.Millisecond)
-	if load {
+	if callersSend {
 		w.drawArrivals()
 		w.killSchedulerHalfway()
 	}
@@ -235,7 +241,7 @@
 	}
 }
 
-// middle kills the scheduler's router halfway, when the scenario says so.
+// killSchedulerHalfway kills the scheduler halfway through the run, if the scenario says so.
 func (w *world) killSchedulerHalfway() {
 	if !w.KillScheduler || !w.now.Equal(startTime.Add(warmUpDuration+w.Duration/2)) {
 		return
@@ -248,13 +254,14 @@
 	}
 }
 
+// applyOutputs carries out what a router has decided.
 func (w *world) applyOutputs(id wire.NodeID, outs []dispatch.Output) {
 	for _, o := range outs {
 		switch o := o.(type) {
 		case dispatch.Send:
 			raw, err := wire.Encode(o.Datagram)
 			if err != nil {
-				panic(err) // our own message: an invariant
+				panic(err) // a node's own datagram is always within the limits
 			}
 			w.sentBytes += len(raw) + datagramOverheadBytes
 			o.Datagram.From = id
@@ -270,6 +277,7 @@
 	}
 }
 
+// deliver passes the datagrams that have arrived to their receivers.
 func (w *world) deliver() {
 	var later []inFlight
 	for _, m := range w.inFlight {
@@ -282,6 +290,7 @@
 	w.inFlight = later
 }
 
+// advanceEngines runs the engines up to now and reports their events to the routers.
 func (w *world) advanceEngines() {
 	for _, id := range w.ids {
 		if w.engines[id].HasUnreadPrompt() {
--- a/internal/lab/tokens/tokens_test.go
+++ b/internal/lab/tokens/tokens_test.go
@@ -11,6 +11,7 @@
 	"github.com/silverswitch/silverswitch/internal/engine"
 )
 
+// runScenario runs a scenario with a fixed seed.
 func runScenario(t *testing.T, s Scenario) Result {
 	t.Helper()
 	s.Seed = 3
@@ -29,7 +30,7 @@
 	assert.Greater(t, r.Least, 0.8)
 }
 
-// unlike are engines that differ by up to ten times in each figure.
+// dissimilarEngines differ from each other by up to ten times in each figure.
 var dissimilarEngines = map[string]engine.Config{
 	"middle": engine.DefaultConfig,
 	"fast, with much time beyond reading": {Slots: 128, MemoryTokens: 986_000, StepMS: 3.23, StepPerRequestMS: 0.0483, StepPer1KContextMS: 0.00146, PrefillTokensPerMS: 112, PrefillChunkTokens: 2048, EventTokens: 5,
@@ -38,8 +39,9 @@
 		FetchTokensPerMS: 200, FetchSetupMS: 5, AttentionMSPerMPairs: 2},
 }
 
-// The model that decides is learned: on engines unlike each other half of all first
-// events come within a fifth of what was expected, and nine in ten within twice and a half.
+// The prefill model is learned: on dissimilar engines the median time to the first event must
+// be within a fifth of the predicted time, and nine in ten must be below two and a half times
+// the predicted time.
 func TestModelPredictsDissimilarEngines(t *testing.T) {
 	t.Parallel()
 	for name, figures := range dissimilarEngines {
