--- a/cmd/silverswitchd/process_test.go
+++ b/cmd/silverswitchd/process_test.go
@@ -203,13 +203,13 @@
 // stream requests a stream, and returns its number of events and whether it was complete.
 // Details of an incomplete one are kept for the failure message.
 func (f *fleet) stream(r *router, tokens int) (int, bool) {
-	n, whole, details := f.readStream(r, tokens)
-	if !whole {
+	n, complete, details := f.readStream(r, tokens)
+	if !complete {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.details = append(f.details, fmt.Sprintf("%s after %d events: %s", r.callers, n, details))
 	}
-	return n, whole
+	return n, complete
 }
 
 // readStream requests a stream, and returns its number of events, whether it was complete,
@@ -327,7 +327,7 @@
 				if down[i%4].Load() {
 					continue
 				}
-				if n, whole := f.stream(f.routers[i%4], 40); whole && n == 40 {
+				if n, complete := f.stream(f.routers[i%4], 40); complete && n == 40 {
 					ok.Add(1)
 				} else {
 					bad.Add(1)
@@ -357,20 +357,20 @@
 func TestKilledRouterBreaksStreamsVisibly(t *testing.T) {
 	f := newFleet(t, 3, 64, 20*time.Millisecond)
 	var wg sync.WaitGroup
-	whole := make([]bool, 12)
+	complete := make([]bool, 12)
 	events := make([]int, 12)
-	for i := range whole {
+	for i := range complete {
 		wg.Add(1)
-		go func() { defer wg.Done(); events[i], whole[i] = f.stream(f.routers[i%3], 150) }()
+		go func() { defer wg.Done(); events[i], complete[i] = f.stream(f.routers[i%3], 150) }()
 	}
 	time.Sleep(1500 * time.Millisecond)
 	require.NoError(t, f.routers[0].cmd.Process.Kill())
 	wg.Wait()
-	for i := range whole {
+	for i := range complete {
 		if i%3 == 0 {
-			assert.False(t, whole[i], "a shortened stream looked whole")
+			assert.False(t, complete[i], "a shortened stream looked complete")
 		} else {
-			assert.True(t, whole[i])
+			assert.True(t, complete[i])
 			assert.Equal(t, 150, events[i])
 		}
 	}
@@ -393,18 +393,18 @@
 func TestMemoryOfTwoThousandStreamsIsBounded(t *testing.T) {
 	f := newFleet(t, 2, 1500, 100*time.Millisecond)
 	var wg sync.WaitGroup
-	var whole atomic.Int64
+	var complete atomic.Int64
 	for range 2000 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			if n, ok := f.stream(f.routers[0], 60); ok && n == 60 {
-				whole.Add(1)
+				complete.Add(1)
 			}
 		}()
 	}
 	wg.Wait()
-	assert.Equal(t, int64(2000), whole.Load())
+	assert.Equal(t, int64(2000), complete.Load())
 	peak := peakMB(t, f.routers[0].cmd.Process.Pid)
 	t.Logf("peak memory %d MB", peak)
 	assert.Less(t, peak, 256)
--- a/internal/lab/fair_test.go
+++ b/internal/lab/fair_test.go
@@ -13,9 +13,9 @@
 // in largest requests, with 640 slots (73 largest requests in flight). docs/PROOFS.md
 // explains them.
 const (
-	boundQuiet = 2.0
-	boundKill  = 8.0
-	boundCut   = 45.0 // 60 s in which slots are divided by the routers that each side sees, and the time to level out
+	boundNoFault   = 2.0
+	boundKill      = 8.0
+	boundPartition = 45.0 // 60 s in which slots are divided by the routers that each side sees, and the time to level out
 )
 
 // runChosen runs the bench with the strategy that routers use.
@@ -29,7 +29,7 @@
 		t.Run(string(unit), func(t *testing.T) {
 			t.Parallel()
 			r := runChosen(FaultNone, unit, 7)
-			bound := boundQuiet
+			bound := boundNoFault
 			if unit == version.UnitAnswered {
 				bound = 64 // a tenth of the answers in flight, as their costs are very unequal
 			}
@@ -51,7 +51,7 @@
 func TestGapIsBoundedDuringAndAfterPartition(t *testing.T) {
 	t.Parallel()
 	r := runChosen(FaultPartition, version.UnitTokens, 5)
-	assert.LessOrEqual(t, r.Gap, boundCut)
+	assert.LessOrEqual(t, r.Gap, boundPartition)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 	assert.Zero(t, r.Strays)
 }
@@ -59,7 +59,7 @@
 func TestFloodDoesNotReduceOtherShares(t *testing.T) {
 	t.Parallel()
 	r := runChosen(FaultFlood, version.UnitTokens, 9)
-	assert.LessOrEqual(t, r.Gap, boundQuiet)
+	assert.LessOrEqual(t, r.Gap, boundNoFault)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 }
 
@@ -71,16 +71,16 @@
 	t.Parallel()
 	r := runChosen(FaultDelayedReads, version.UnitTokens, 9)
 	t.Logf("%+v", r)
-	assert.LessOrEqual(t, r.Gap, boundQuiet)
+	assert.LessOrEqual(t, r.Gap, boundNoFault)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
 }
 
 // The bounds above mean something only if simple strategies exceed them.
 func TestBaselinesExceedTheGapBound(t *testing.T) {
 	t.Parallel()
-	for _, way := range Strategies(Routers)[:3] {
-		r := Scenario{Strategy: way, Fault: FaultNone, Unit: version.UnitTokens, Seed: 7}.Run()
-		assert.Greater(t, r.Gap, boundQuiet, way.Name)
+	for _, strategy := range Strategies(Routers)[:3] {
+		r := Scenario{Strategy: strategy, Fault: FaultNone, Unit: version.UnitTokens, Seed: 7}.Run()
+		assert.Greater(t, r.Gap, boundNoFault, strategy.Name)
 	}
 }
 
--- a/internal/lab/job.go
+++ b/internal/lab/job.go
@@ -12,21 +12,21 @@
 
 // Job is a request and its outcome.
 type Job struct {
-	Org      *version.Organisation
-	App      string
-	Host     *Host
-	ID       uint64
-	Key      *claim.Key
-	Tokens   int
-	Arrived  time.Time
-	Began    time.Time
-	Upstream *version.Upstream
-	Starts   int
-	Running  bool
-	Ended    bool
-	Refused  entry.Reason
-	Doubt    bool // refused, but it is unknown whether the key has run
-	done     func(*Job)
+	Org       *version.Organisation
+	App       string
+	Host      *Host
+	ID        uint64
+	Key       *claim.Key
+	Tokens    int
+	Arrived   time.Time
+	StartedAt time.Time
+	Upstream  *version.Upstream
+	Starts    int
+	Running   bool
+	Ended     bool
+	Refused   entry.Reason
+	Doubt     bool // refused, but it is unknown whether the key has run
+	done      func(*Job)
 }
 
 // start sends a job to an upstream, where it runs or waits for a slot, and counts starts
@@ -46,12 +46,12 @@
 		w.queued[up] = append(w.queued[up], j)
 		return
 	}
-	w.begin(j)
+	w.runInSlot(j)
 }
 
-// begin runs a job in a slot of its upstream.
-func (w *World) begin(j *Job) {
-	j.Running, j.Began = true, w.Now
+// runInSlot runs a job in a slot of its upstream.
+func (w *World) runInSlot(j *Job) {
+	j.Running, j.StartedAt = true, w.Now
 	w.Running[j.Upstream.ID]++
 	w.runningJobs[j] = true
 	starts := j.Starts
@@ -72,7 +72,7 @@
 
 // GeneratedTokens returns how many tokens a running job has generated so far.
 func (w *World) GeneratedTokens(j *Job) float64 {
-	n := int((w.Now.Sub(j.Began) - w.FirstTokenDelay) / w.tokenInterval(j))
+	n := int((w.Now.Sub(j.StartedAt) - w.FirstTokenDelay) / w.tokenInterval(j))
 	return float64(min(max(n, 0), j.Tokens))
 }
 
@@ -106,7 +106,7 @@
 		next := w.queued[up][0]
 		w.queued[up] = w.queued[up][1:]
 		if next.Host.Up {
-			w.begin(next)
+			w.runInSlot(next)
 			return
 		}
 	}
--- a/internal/lab/safety_test.go
+++ b/internal/lab/safety_test.go
@@ -188,7 +188,7 @@
 func startsBefore(jobs []*Job, j *Job) int {
 	n := 0
 	for _, o := range jobs {
-		if o.Starts > 0 && o.Began.Before(j.Arrived) {
+		if o.Starts > 0 && o.StartedAt.Before(j.Arrived) {
 			n++
 		}
 	}
--- a/internal/lab/tokens/fair.go
+++ b/internal/lab/tokens/fair.go
@@ -71,10 +71,10 @@
 
 // best returns the organisation that started most in a window.
 func (f *fairness) best(from int) int {
-	best, most := 0, -1.0
+	best, highest := 0, -1.0
 	for org := range f.orgs {
-		if sum := f.started(org, from); sum > most {
-			best, most = org, sum
+		if sum := f.started(org, from); sum > highest {
+			best, highest = org, sum
 		}
 	}
 	return best
--- a/internal/lab/tokens/fair_test.go
+++ b/internal/lab/tokens/fair_test.go
@@ -10,7 +10,7 @@
 )
 
 // fastEngine reads three times as fast as the capacity that operators state for the service,
-// so that most of what is granted lies beyond shares.
+// so that most grants exceed the shares.
 func fastEngine() engine.Config {
 	f := engine.DefaultConfig
 	f.PrefillTokensPerMS, f.StepMS = 112, 3.23
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -32,12 +32,12 @@
 
 // generation is an answer being generated. It continues while no client is connected.
 type generation struct {
-	began    time.Time
-	total    int
-	echo     string
-	canceled bool
-	cut      bool
-	lost     bool
+	startedAt time.Time
+	total     int
+	echo      string
+	canceled  bool
+	cut       bool
+	lost      bool
 }
 
 // completion is the body of a chat completion request.
@@ -90,7 +90,7 @@
 
 // begin registers the generation of a request.
 func (e *Engine) begin(id string, c completion) *generation {
-	g := &generation{began: time.Now(), total: e.DefaultTokens}
+	g := &generation{startedAt: time.Now(), total: e.DefaultTokens}
 	if c.Max > 0 {
 		g.total = c.Max
 	}
@@ -165,7 +165,7 @@
 // waitForToken waits until the i-th token is generated. It returns false if the client has
 // gone or the stream is canceled.
 func (e *Engine) waitForToken(r *http.Request, g *generation, i int) bool {
-	at := g.began.Add(e.FirstTokenDelay + e.TokenInterval*time.Duration(i))
+	at := g.startedAt.Add(e.FirstTokenDelay + e.TokenInterval*time.Duration(i))
 	select {
 	case <-time.After(time.Until(at)):
 	case <-r.Context().Done():
