--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -72,7 +72,7 @@
 	return b.String()
 }
 
-// Chat is the name of the application that calls the i-th model.
+// ChatApplication returns the name of the application that calls the i-th model.
 func ChatApplication(i int) string {
 	if i == 0 {
 		return "chat"
@@ -117,13 +117,13 @@
 // The lengths of answers, in tokens, are lognormal with a mean near 465.
 const (
 	MaxAnswerTokens = 4096
-	sizeMu          = 5.6
-	sizeSigma       = 1.04
+	answerLogMean   = 5.6
+	answerLogSigma  = 1.04
 )
 
 // AnswerTokens draws the length of an answer.
 func (w *World) AnswerTokens() int {
-	n := math.Exp(sizeMu + sizeSigma*w.rnd.NormFloat64())
+	n := math.Exp(answerLogMean + answerLogSigma*w.rnd.NormFloat64())
 	return int(min(max(n, 1), MaxAnswerTokens))
 }
 
--- a/internal/lab/tokens/arrivals.go
+++ b/internal/lab/tokens/arrivals.go
@@ -54,12 +54,12 @@
 
 // arrive draws a request of a class and submits it.
 func (w *world) arrive(c *class, org int) {
-	own := w.rnd.IntN(c.ownVariants)
+	extension := w.rnd.IntN(c.extensionVariants)
 	base := w.rnd.IntN(c.baseVariants)
 	w.lastID++
 	parts := []engine.Part{
 		{ID: partID(c, 1, base), Tokens: c.baseTokens},
-		{ID: partID(c, 2, base*1000+own), Tokens: c.ownTokens},
+		{ID: partID(c, 2, base*1000+extension), Tokens: c.extensionTokens},
 		{ID: 1<<40 + w.lastID, Tokens: int(w.logNormal(c.meanPromptTokens, c.promptSigma, c.maxPromptTokens))},
 	}
 	k := &call{class: c, org: org, parts: parts, arrivedAt: w.now}
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -31,20 +31,20 @@
 	datagramOverheadBytes = 56
 )
 
-// class is a kind of request. A prompt has three parts: a base part, a second part that
-// extends it, both shared by many requests, and a part of the single request.
+// class is a kind of request. A prompt has three parts: a base part and an extension of it,
+// both shared by many requests, and a part of the single request.
 type class struct {
-	name                  string
-	perSecond             float64
-	baseTokens, ownTokens int     // of the two shared parts
-	ownVariants           int     // number of different second parts for each base part
-	meanPromptTokens      float64 // of the part of the single request
-	meanOutputTokens      float64
-	target                time.Duration
-	deadline              time.Duration
-	baseVariants          int // number of different base parts
-	maxPromptTokens       float64
-	promptSigma           float64
+	name                        string
+	perSecond                   float64
+	baseTokens, extensionTokens int     // of the shared parts
+	extensionVariants           int     // number of different extensions of each base part
+	meanPromptTokens            float64 // of the part of the single request
+	meanOutputTokens            float64
+	target                      time.Duration
+	deadline                    time.Duration
+	baseVariants                int // number of different base parts
+	maxPromptTokens             float64
+	promptSigma                 float64
 }
 
 var classes = []class{
--- a/internal/lab/tokens/tokens_test.go
+++ b/internal/lab/tokens/tokens_test.go
@@ -44,9 +44,9 @@
 // the predicted time.
 func TestModelPredictsDissimilarEngines(t *testing.T) {
 	t.Parallel()
-	for name, figures := range dissimilarEngines {
+	for name, cfg := range dissimilarEngines {
 		s := Standard(shortRun)["calm"]
-		s.Engine, s.LoadFactor = figures, 0.5*figures.PrefillTokensPerMS/engine.DefaultConfig.PrefillTokensPerMS
+		s.Engine, s.LoadFactor = cfg, 0.5*cfg.PrefillTokensPerMS/engine.DefaultConfig.PrefillTokensPerMS
 		r := runScenario(t, s)
 		assert.InDelta(t, 1, r.Ratio[0], 0.2, name)
 		assert.Less(t, r.Ratio[1], 2.5, name)
--- a/internal/tool/timeline.go
+++ b/internal/tool/timeline.go
@@ -12,7 +12,7 @@
 )
 
 // maxLogLineBytes is the longest log line read.
-const maxLogLine = 1 << 20
+const maxLogLineBytes = 1 << 20
 
 // timelineMargin is how long before a request's first line and after its last one state
 // changes at its routers are shown: within this time they may have affected the request.
@@ -74,7 +74,7 @@
 // is skipped, and so are lines without valid JSON.
 func readLog(r io.Reader, lines []logLine) ([]logLine, error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLogLine)
+	s.Buffer(nil, maxLogLineBytes)
 	for s.Scan() {
 		text := s.Text()
 		i := strings.IndexByte(text, '{')
