--- a/spec/version.pml
+++ b/spec/version.pml
@@ -49,12 +49,12 @@
 		starts++;
 		select (r : 0 .. 2);
 		have[r] = 0
-	:: /* two routers exchange heads */
+	:: /* two routers exchange versions */
 		select (r : 0 .. 2); select (s : 0 .. 2);
 		offer(r, have[s])
 	:: reads == 4 -> break
 	od;
-	/* every pair exchanges heads twice */
+	/* every pair exchanges versions twice */
 	byte k = 0;
 	do
 	:: k < 2 ->
