--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -73,7 +73,7 @@
 	r.Utilisation = min(r.Utilisation, s.Utilisation)
 	r.Control = max(r.Control, s.Control)
 	r.Busiest = max(r.Busiest, s.Busiest)
-	r.Strays += s.Strays
+	r.Strays += s.MisplacedStarts
 }
 
 // runParallel runs all functions, on half of the cores at once.
--- a/cmd/bench/tokens.go
+++ b/cmd/bench/tokens.go
@@ -16,18 +16,18 @@
 // ablation is the router with one mechanism left out.
 type ablation struct {
 	name    string
-	without dispatch.Without
+	without dispatch.Disabled
 }
 
 var ablations = []ablation{
-	{"all", dispatch.Without{}},
-	{"without shares", dispatch.Without{Shares: true}},
-	{"without refusals for the wait", dispatch.Without{Refusals: true}},
-	{"without knowledge of kept parts", dispatch.Without{Parts: true}},
-	{"without fetching kept parts", dispatch.Without{Fetch: true}},
-	{"without a scheduler, each router alone", dispatch.Without{Scheduler: true}},
-	{"without preferring kept connections", dispatch.Without{ConnReuse: true}},
-	{"without learning the engines' times", dispatch.Without{Learning: true}},
+	{"all", dispatch.Disabled{}},
+	{"without shares", dispatch.Disabled{Shares: true}},
+	{"without refusals for the wait", dispatch.Disabled{Refusals: true}},
+	{"without knowledge of kept parts", dispatch.Disabled{Parts: true}},
+	{"without fetching kept parts", dispatch.Disabled{Fetch: true}},
+	{"without a scheduler, each router alone", dispatch.Disabled{Scheduler: true}},
+	{"without preferring kept connections", dispatch.Disabled{ConnReuse: true}},
+	{"without learning the engines' times", dispatch.Disabled{Learning: true}},
 }
 
 // tokenTable prints the table of the routed interface: for each scenario, the results with
@@ -47,7 +47,7 @@
 		for j, a := range ablations {
 			work = append(work, func() {
 				s := scenarios[name]
-				s.Without = a.without
+				s.Disabled = a.without
 				rows[i*len(ablations)+j] = tokenLine(name, a.name, s, seeds)
 			})
 		}
@@ -80,13 +80,13 @@
 		sum.Fetched += r.Fetched
 		sum.Control += r.Control
 		sum.Least = min(sum.Least, r.Least)
-		for i := range r.Seen {
-			sum.Seen[i] += r.Seen[i] / float64(seeds)
+		for i := range r.Observed {
+			sum.Observed[i] += r.Observed[i] / float64(seeds)
 			sum.Predicted[i] += r.Predicted[i] / float64(seeds)
 		}
 	}
 	n := float64(seeds)
 	return fmt.Sprintf("| %s | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %d | %d | %.0f | %.0f, %.0f, %.0f | %.0f, %.0f, %.0f |", scenario, ablation, sum.Owed/n, sum.Least, sum.Beyond/n, sum.Busy/n,
 		float64(sum.Late)/float64(sum.Asked), float64(sum.Refused)/float64(sum.Asked), sum.ReadAgain/seeds, sum.Fetched/seeds, sum.Control/n,
-		sum.Predicted[0], sum.Predicted[1], sum.Predicted[2], sum.Seen[0], sum.Seen[1], sum.Seen[2])
+		sum.Predicted[0], sum.Predicted[1], sum.Predicted[2], sum.Observed[0], sum.Observed[1], sum.Observed[2])
 }
--- a/internal/core/crashes.go
+++ b/internal/core/crashes.go
@@ -12,7 +12,7 @@
 
 // Broke says that an attempt ended without a complete answer although the upstream may have run
 // it. Early is set when its answer had no event yet.
-type Broke struct {
+type AttemptIncomplete struct {
 	Content  fingerprint.Fingerprint
 	Org      version.ID
 	Upstream version.ID
@@ -26,9 +26,9 @@
 // Answered says that a request to which crashes are attributed received a complete answer.
 type Answered struct{ Content fingerprint.Fingerprint }
 
-func (Broke) input()       {}
-func (ConnRefused) input() {}
-func (Answered) input()    {}
+func (AttemptIncomplete) input() {}
+func (ConnRefused) input()       {}
+func (Answered) input()          {}
 
 // Probe asks the driver whether an upstream's address refuses connections.
 type Probe struct{ Upstream version.ID }
@@ -52,12 +52,12 @@
 
 // broke handles an attempt that ended without a complete answer. The end of an upstream that is
 // leaving is planned, and so is no evidence against the requests that it still runs.
-func (n *Node) broke(in Broke, now time.Time) {
+func (n *Node) attemptIncomplete(in AttemptIncomplete, now time.Time) {
 	if n.drains[in.Upstream] != nil {
 		return
 	}
 	a := quarantine.Attempt{Content: in.Content, Org: in.Org, Began: in.Began, Early: in.Early, Lost: true}
-	if n.crashes.Broke(in.Upstream, a, now) {
+	if n.crashes.AttemptIncomplete(in.Upstream, a, now) {
 		n.out = append(n.out, Probe{Upstream: in.Upstream})
 	}
 }
@@ -71,9 +71,9 @@
 	}
 }
 
-// attachCrashChecksum adds the checksum of the held requests to pings and acks, which every
+// attachQuarantineChecksum adds the checksum of the held requests to pings and acks, which every
 // router soon receives from every other.
-func (n *Node) attachCrashChecksum(d *wire.Datagram) {
+func (n *Node) attachQuarantineChecksum(d *wire.Datagram) {
 	if d.Ping == nil && d.Ack == nil {
 		return
 	}
@@ -83,8 +83,8 @@
 	d.Crashes.HasChecksum, d.Crashes.Checksum = true, n.crashes.Checksum()
 }
 
-// logCrashChanges outputs changes in what is known of requests, for the log.
-func (n *Node) logCrashChanges() {
+// logQuarantineChanges outputs changes in what is known of requests, for the log.
+func (n *Node) logQuarantineChanges() {
 	for _, c := range n.crashes.Changes() {
 		detail := fmt.Sprintf("fingerprint %s, organisation %d, held for %v, seen by %q; value: crashes", c.Content, c.Org, c.Held, c.From)
 		n.event("request-suspected", uint64(c.Crashes), detail)
--- a/internal/core/crashes_test.go
+++ b/internal/core/crashes_test.go
@@ -18,7 +18,7 @@
 // deliver delivers one node's datagram for another.
 func deliver(t *testing.T, from, to *Node, now time.Time) {
 	t.Helper()
-	d := datagramTo(from.Ready(now), to.set.ID)
+	d := datagramTo(from.Ready(now), to.settings.ID)
 	if d == nil {
 		return
 	}
@@ -26,13 +26,13 @@
 	require.NoError(t, err)
 	d, err = wire.Decode(raw)
 	require.NoError(t, err)
-	d.From = from.set.ID
+	d.From = from.settings.ID
 	to.Step(Receive{d}, now)
 }
 
 // crashUpstream ends an upstream during an attempt of a node.
 func crashUpstream(n *Node, up version.ID, now time.Time) {
-	n.Step(Broke{Content: crashingRequest, Org: 7, Upstream: up, Began: now}, now)
+	n.Step(AttemptIncomplete{Content: crashingRequest, Org: 7, Upstream: up, Began: now}, now)
 	n.Step(ConnRefused{Upstream: up}, now)
 }
 
@@ -40,8 +40,8 @@
 // one crash. When the upstream is back and crashes again, that is another crash.
 func TestRoutersCountOneCrashOfAnUpstreamOnce(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
-	a.Step(Receive{&wire.Datagram{From: b.set.ID, Inc: b.set.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
-	b.Step(Receive{&wire.Datagram{From: a.set.ID, Inc: a.set.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
+	a.Step(Receive{&wire.Datagram{From: b.settings.ID, Inc: b.settings.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
+	b.Step(Receive{&wire.Datagram{From: a.settings.ID, Inc: a.settings.Inc, Ping: &wire.Ping{Seq: 1}}}, t0)
 	now := t0
 	for i := range quarantine.HoldAfterCrashes {
 		assert.Equal(t, i, a.crashes.State(crashingRequest).Crashes)
@@ -70,9 +70,9 @@
 		crashUpstream(a, version.ID(1+i), t0)
 	}
 	a.Ready(t0)
-	b.Step(Receive{&wire.Datagram{From: a.set.ID, Inc: a.set.Inc}}, t0)
+	b.Step(Receive{&wire.Datagram{From: a.settings.ID, Inc: a.settings.Inc}}, t0)
 	for seq := range uint32(3) { // a's reply to a ping, b's list, a's list
-		a.Step(Receive{&wire.Datagram{From: b.set.ID, Inc: b.set.Inc, Ping: &wire.Ping{Seq: seq}}}, t0)
+		a.Step(Receive{&wire.Datagram{From: b.settings.ID, Inc: b.settings.Inc, Ping: &wire.Ping{Seq: seq}}}, t0)
 		deliver(t, a, b, t0)
 		deliver(t, b, a, t0)
 	}
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -72,7 +72,7 @@
 	minPaceStarts           = 3                // decayed number of starts below which there is no estimate
 )
 
-type flight struct {
+type trackedRequest struct {
 	Request
 	queue    *queue
 	arrived  time.Time
@@ -87,7 +87,7 @@
 	ver          *version.Version
 	place        string
 	startedAt    time.Time // of the process; zero of the clock in reports
-	flights      map[uint64]*flight
+	requests     map[uint64]*trackedRequest
 	queues       map[queueKey]*queue
 	waitingByOrg map[version.ID]int // waiting requests of each organisation
 	pools        map[version.ID]*poolState
@@ -113,7 +113,7 @@
 	return &Entry{
 		place:        place,
 		startedAt:    start,
-		flights:      map[uint64]*flight{},
+		requests:     map[uint64]*trackedRequest{},
 		queues:       map[queueKey]*queue{},
 		waitingByOrg: map[version.ID]int{},
 		pools:        map[version.ID]*poolState{},
@@ -137,8 +137,8 @@
 	for _, q := range e.queues {
 		q.pools = e.poolsFor(q.key)
 	}
-	for _, id := range slices.Sorted(maps.Keys(e.flights)) {
-		f := e.flights[id]
+	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
+		f := e.requests[id]
 		if f.running {
 			continue
 		}
@@ -173,8 +173,8 @@
 // Arrive handles a new request. It is started, queued or refused; Take returns the outcome.
 func (e *Entry) Arrive(r Request, now time.Time) {
 	e.Counts.Arrived++
-	f := &flight{Request: r, arrived: now}
-	e.flights[r.ID] = f
+	f := &trackedRequest{Request: r, arrived: now}
+	e.requests[r.ID] = f
 	if e.ver == nil {
 		e.refuse(f, ReasonNoVersion, minRetryAfter)
 		return
@@ -212,9 +212,9 @@
 	return false
 }
 
-func (e *Entry) refuse(f *flight, reason Reason, after time.Duration) {
+func (e *Entry) refuse(f *trackedRequest, reason Reason, after time.Duration) {
 	e.dequeue(f)
-	delete(e.flights, f.ID)
+	delete(e.requests, f.ID)
 	e.Counts.Refused++
 	e.refused = append(e.refused, Refusal{ID: f.ID, Reason: reason, RetryAfter: after})
 }
@@ -222,19 +222,19 @@
 // Cancel ends a waiting request whose caller disconnected, and reports whether it did. A
 // running request ends by Finish, once the upstream has confirmed the end.
 func (e *Entry) Cancel(id uint64) bool {
-	f := e.flights[id]
+	f := e.requests[id]
 	if f == nil || f.running {
 		return false
 	}
 	e.dequeue(f)
-	delete(e.flights, id)
+	delete(e.requests, id)
 	e.Counts.Canceled++
 	return true
 }
 
 // Refuse refuses a request that has not started.
 func (e *Entry) Refuse(id uint64, reason Reason, after time.Duration) {
-	if f := e.flights[id]; f != nil && !f.running {
+	if f := e.requests[id]; f != nil && !f.running {
 		e.refuse(f, reason, after)
 	}
 }
@@ -242,7 +242,7 @@
 // Return releases the slot of a request that did not run: no byte was sent, or the upstream
 // proved that it did not run it. The request goes back to the head of its queue.
 func (e *Entry) Return(id uint64, failed bool, now time.Time) {
-	f := e.flights[id]
+	f := e.requests[id]
 	if f == nil || !f.running {
 		return
 	}
@@ -257,26 +257,26 @@
 		e.refuse(f, ReasonDeadline, minRetryAfter)
 		return
 	}
-	e.noteDeadline(f)
+	e.updateNextDeadline(f)
 	e.waitingByOrg[f.Org]++
 	if f.Urgent {
-		f.queue.urgent = append([]*flight{f}, f.queue.urgent...)
+		f.queue.urgent = append([]*trackedRequest{f}, f.queue.urgent...)
 	} else {
-		f.queue.normal = append([]*flight{f}, f.queue.normal...)
+		f.queue.normal = append([]*trackedRequest{f}, f.queue.normal...)
 	}
 	e.markChanged(f.queue)
 }
 
 // Progress sets the service that a running request has received so far, in units.
 func (e *Entry) Progress(id uint64, units float64) {
-	f := e.flights[id]
+	f := e.requests[id]
 	if f == nil || !f.running {
 		return
 	}
 	e.charge(f, units)
 }
 
-func (e *Entry) charge(f *flight, units float64) {
+func (e *Entry) charge(f *trackedRequest, units float64) {
 	total := uint64(units * ledger.Scale)
 	if total <= f.served {
 		return
@@ -292,7 +292,7 @@
 
 // Finish ends a running request with the service it received and a sample of its upstream.
 func (e *Entry) Finish(id uint64, units float64, s wire.Sample, now time.Time) {
-	f := e.flights[id]
+	f := e.requests[id]
 	if f == nil || !f.running {
 		return
 	}
@@ -301,7 +301,7 @@
 	p.release(f.Org, f.upstream, now)
 	s.Upstream = f.upstream
 	p.addSample(s)
-	delete(e.flights, id)
+	delete(e.requests, id)
 	e.Counts.Finished++
 }
 
@@ -316,12 +316,12 @@
 }
 
 // Waiting returns the number of requests without a slot.
-func (e *Entry) Waiting() int { return len(e.flights) - e.Running() }
+func (e *Entry) Waiting() int { return len(e.requests) - e.Running() }
 
 // Running returns the number of requests that hold a slot.
 func (e *Entry) Running() int {
 	n := 0
-	for _, f := range e.flights {
+	for _, f := range e.requests {
 		if f.running {
 			n++
 		}
--- a/internal/core/entry/pool.go
+++ b/internal/core/entry/pool.go
@@ -127,7 +127,7 @@
 
 // startOnCredit starts a request at once if the router holds a standing credit for an upstream
 // in the organisation's places, and no request of the organisation waits before it.
-func (e *Entry) startOnCredit(f *flight, q *queue, now time.Time) bool {
+func (e *Entry) startOnCredit(f *trackedRequest, q *queue, now time.Time) bool {
 	if q.position(f.Urgent) > 0 {
 		return false
 	}
@@ -160,7 +160,7 @@
 
 // mayRun enforces the place rule at dispatch under the newest accepted version: the upstream is
 // known, is not leaving, and is in an allowed place, as this router is.
-func (e *Entry) mayRun(f *flight, pool, up version.ID) bool {
+func (e *Entry) mayRun(f *trackedRequest, pool, up version.ID) bool {
 	u := e.ver.Upstreams[up]
 	app := e.app(f.Request)
 	if u == nil || app == nil || u.Pool != pool || u.Closed() || e.draining[up] {
@@ -169,7 +169,7 @@
 	return u.Service == app.Service && e.ver.Organisations[f.Org].Allows(u.Place)
 }
 
-func (e *Entry) start(f *flight, p *poolState, up version.ID, now time.Time) {
+func (e *Entry) start(f *trackedRequest, p *poolState, up version.ID, now time.Time) {
 	f.running = true
 	f.upstream = up
 	f.pool = p.id
@@ -272,7 +272,7 @@
 
 // nextFor returns the organisation's first waiting request if it may run at the upstream, or
 // nil.
-func (e *Entry) nextFor(p *poolState, g wire.Grant) *flight {
+func (e *Entry) nextFor(p *poolState, g wire.Grant) *trackedRequest {
 	u := e.ver.Upstreams[g.Upstream]
 	if u == nil {
 		return nil
--- a/internal/core/entry/queue.go
+++ b/internal/core/entry/queue.go
@@ -18,8 +18,8 @@
 type queue struct {
 	key       queueKey
 	pools     []version.ID
-	urgent    []*flight
-	normal    []*flight
+	urgent    []*trackedRequest
+	normal    []*trackedRequest
 	starts    float64 // starts while requests waited, decayed; see pace
 	busy      float64 // seconds in which requests waited, decayed in the same way
 	accruedAt time.Time
@@ -27,7 +27,7 @@
 
 func (q *queue) len() int { return len(q.urgent) + len(q.normal) }
 
-func (q *queue) head() *flight {
+func (q *queue) head() *trackedRequest {
 	if len(q.urgent) > 0 {
 		return q.urgent[0]
 	}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (e *Entry) enqueue(f *flight, q *queue, now time.Time) {
+func (e *Entry) enqueue(f *trackedRequest, q *queue, now time.Time) {
 	limit := e.ver.Organisations[f.Org].QueueLimit
 	if e.waitingByOrg[f.Org] >= limit {
 		e.refuse(f, ReasonQueueFull, e.retryAfter(q))
@@ -48,7 +48,7 @@
 		return
 	}
 	f.queue = q
-	e.noteDeadline(f)
+	e.updateNextDeadline(f)
 	e.waitingByOrg[f.Org]++
 	q.accrue(now)
 	if f.Urgent {
@@ -63,7 +63,7 @@
 // scheduleReports schedules the reports on a new request: at once when there may be a slot for
 // it, slightly later when the pool is saturated and the queue was empty, and with the next
 // report when other requests of the queue wait before it.
-func (e *Entry) scheduleReports(q *queue, f *flight, now time.Time) {
+func (e *Entry) scheduleReports(q *queue, f *trackedRequest, now time.Time) {
 	for _, id := range q.pools {
 		p := e.pool(id)
 		switch {
@@ -110,7 +110,7 @@
 }
 
 // dequeue removes a flight from its queue, if it waits in one.
-func (e *Entry) dequeue(f *flight) {
+func (e *Entry) dequeue(f *trackedRequest) {
 	q := f.queue
 	if q == nil || f.running {
 		return
@@ -122,7 +122,7 @@
 	e.markChanged(q)
 }
 
-func remove(list []*flight, f *flight) []*flight {
+func remove(list []*trackedRequest, f *trackedRequest) []*trackedRequest {
 	for i, x := range list {
 		if x == f {
 			return append(list[:i:i], list[i+1:]...)
@@ -155,8 +155,8 @@
 // expire refuses waiting requests whose deadline has passed, and records the next deadline.
 func (e *Entry) expire(now time.Time) {
 	next := now.Add(maxRetryAfter)
-	for _, id := range slices.Sorted(maps.Keys(e.flights)) {
-		f := e.flights[id]
+	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
+		f := e.requests[id]
 		if f.running {
 			continue
 		}
@@ -169,14 +169,14 @@
 	e.nextDeadline = next
 }
 
-// noteDeadline keeps nextDeadline at or before the deadline of every waiting flight.
-func (e *Entry) noteDeadline(f *flight) {
+// updateNextDeadline keeps nextDeadline at or before the deadline of every waiting flight.
+func (e *Entry) updateNextDeadline(f *trackedRequest) {
 	if f.Deadline.Before(e.nextDeadline) {
 		e.nextDeadline = f.Deadline
 	}
 }
 
-func (e *Entry) expiredRetryAfter(f *flight) time.Duration {
+func (e *Entry) expiredRetryAfter(f *trackedRequest) time.Duration {
 	if f.queue == nil {
 		return minRetryAfter
 	}
@@ -185,7 +185,7 @@
 
 // dequeueStarted removes a flight that starts from its queue, and keeps the reference to the
 // queue in case the flight is returned.
-func (e *Entry) dequeueStarted(f *flight) {
+func (e *Entry) dequeueStarted(f *trackedRequest) {
 	q := f.queue
 	e.dequeue(f)
 	f.queue = q
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -106,7 +106,7 @@
 	ID         uint64
 	Reason     entry.Reason
 	RetryAfter time.Duration
-	Doubt      bool
+	MayHaveRun bool
 }
 
 // Fetch asks the driver to fetch a version from a peer.
@@ -144,7 +144,7 @@
 		}
 	}
 	n.collectDecisions()
-	n.logCrashChanges()
+	n.logQuarantineChanges()
 	n.flush()
 	out := n.out
 	n.out = nil
@@ -179,17 +179,17 @@
 // deliverToSelf handles the messages of this node to itself. It returns false when there were
 // none.
 func (n *Node) deliverToSelf(now time.Time) bool {
-	d := n.outbox.Take(n.set.ID)
+	d := n.outbox.Take(n.settings.ID)
 	if d == nil {
 		return false
 	}
 	for i := range d.Reports {
-		n.handleReport(n.set.ID, n.set.Inc, &d.Reports[i], now)
+		n.handleReport(n.settings.ID, n.settings.Inc, &d.Reports[i], now)
 	}
 	for i := range d.Grants {
-		n.entry.Grants(n.set.ID, &d.Grants[i], now)
+		n.entry.Grants(n.settings.ID, &d.Grants[i], now)
 	}
-	d.From, d.Inc = n.set.ID, n.set.Inc
+	d.From, d.Inc = n.settings.ID, n.settings.Inc
 	n.handleClaims(d, now)
 	return true
 }
@@ -209,7 +209,7 @@
 func (n *Node) flush() {
 	n.outbox.Flush(n.members, func(to wire.NodeID, d *wire.Datagram) {
 		n.attachVersion(d)
-		n.attachCrashChecksum(d)
+		n.attachQuarantineChecksum(d)
 		d.DrainingUpstreams = n.drainsToAnnounce()
 		n.out = append(n.out, Send{To: to, Datagram: d})
 	})
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -19,7 +19,7 @@
 type join struct {
 	clock     uint32                           // counts the changes of this table
 	selfClock uint32                           // clock of this router's own last change
-	asking    bool                             // the next pings carry a join request
+	active    bool                             // the next pings carry a join request
 	since     map[wire.NodeID]uint32           // as a seed: routers with an open request, and the clock they have
 	answers   map[wire.NodeID]wire.JoinRequest // as the joining router: the last reply of each seed
 	seed      int                              // index of the seed in use
@@ -98,7 +98,7 @@
 func (t *Table) joinRequest(to wire.NodeID) *wire.JoinRequest {
 	j := &t.join
 	seeds := t.otherSeeds()
-	if !j.asking || len(seeds) == 0 || seeds[j.seed%len(seeds)] != to {
+	if !j.active || len(seeds) == 0 || seeds[j.seed%len(seeds)] != to {
 		return nil
 	}
 	if j.attempts++; j.attempts > maxJoinAttempts {
@@ -128,5 +128,5 @@
 
 // tickJoin decides whether this router still sends join requests.
 func (t *Table) tickJoin(now time.Time) {
-	t.join.asking = t.alone || now.Sub(t.started) < joinDuration
+	t.join.active = t.alone || now.Sub(t.started) < joinDuration
 }
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -194,10 +194,10 @@
 	}
 	var out []Send
 	if d.Ping != nil {
-		out = append(out, t.onPing(d.From, d.Ping, now))
+		out = append(out, t.handlePing(d.From, d.Ping, now))
 	}
 	if d.Ack != nil {
-		out = append(out, t.onAck(d.Ack, now)...)
+		out = append(out, t.handleAck(d.Ack, now)...)
 	}
 	return out
 }
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -16,7 +16,7 @@
 		t.expireMembers(now)
 	}
 	t.tickJoin(now)
-	if t.join.asking && now.Sub(t.lastSeedPing) >= seedPingInterval {
+	if t.join.active && now.Sub(t.lastSeedPing) >= seedPingInterval {
 		t.lastSeedPing = now
 		out = append(out, t.pingSeeds(now)...)
 	}
@@ -153,7 +153,7 @@
 	return []Send{{To: dead[t.rnd.IntN(len(dead))], Ping: &wire.Ping{Seq: t.seq}}}
 }
 
-func (t *Table) onPing(from wire.NodeID, p *wire.Ping, now time.Time) Send {
+func (t *Table) handlePing(from wire.NodeID, p *wire.Ping, now time.Time) Send {
 	if p.Target == "" || p.Target == t.self.ID {
 		return Send{To: from, Ack: &wire.Ack{Seq: p.Seq, Target: t.self.ID}}
 	}
@@ -162,7 +162,7 @@
 	return Send{To: p.Target, Ping: &wire.Ping{Seq: t.seq}}
 }
 
-func (t *Table) onAck(a *wire.Ack, now time.Time) []Send {
+func (t *Table) handleAck(a *wire.Ack, now time.Time) []Send {
 	if r, ok := t.relays[a.Seq]; ok {
 		delete(t.relays, a.Seq)
 		return []Send{{To: r.from, Ack: &wire.Ack{Seq: r.seq, Target: a.Target}}}
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -59,7 +59,7 @@
 
 // Node is the control state of one router. One goroutine owns it.
 type Node struct {
-	set        Settings
+	settings   Settings
 	ver        *version.Version
 	members    *member.Table
 	entry      *entry.Entry
@@ -120,7 +120,7 @@
 	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
 	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Public: set.Public}
 	n := &Node{
-		set:        set,
+		settings:   set,
 		members:    member.New(self, set.Seeds, now, rnd),
 		entry:      entry.New(set.Place, now),
 		led:        ledger.New(),
@@ -170,8 +170,8 @@
 		n.markDrain(in.Upstream, drain{firstHand: true, persistent: in.Persistent}, now)
 	case Undrain:
 		n.clearDrain(in.Upstream)
-	case Broke:
-		n.broke(in, now)
+	case AttemptIncomplete:
+		n.attemptIncomplete(in, now)
 	case ConnRefused:
 		n.connRefused(in.Upstream, now)
 	case Answered:
@@ -193,7 +193,7 @@
 	n.tickProposals(now)
 	n.expireDrains(now)
 	n.tickPools(now)
-	n.outbox.SendCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
+	n.outbox.SendCrashes(n.members.Live(true), n.settings.ID, n.crashes.Tick(now))
 	if now.Sub(n.lastLedger) >= ledgerInterval {
 		n.lastLedger = now
 		n.sendLedger()
@@ -324,7 +324,7 @@
 	n.schedulers.clear()
 	n.copyPools()
 	for _, id := range n.members.Live(true) {
-		if id != n.set.ID {
+		if id != n.settings.ID {
 			n.outbox.To(id)
 		}
 	}
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -67,8 +67,8 @@
 }
 
 func (n *Node) regionOf(id wire.NodeID) string {
-	place := n.set.Place
-	if id != n.set.ID {
+	place := n.settings.Place
+	if id != n.settings.ID {
 		m := n.members.Get(id)
 		if m == nil {
 			return ""
@@ -96,7 +96,7 @@
 }
 
 func (n *Node) takeOver(pool version.ID, now time.Time) *hostedPool {
-	p := &hostedPool{Pool: sched.New(pool, n.ver, n.led, n.set.Sched, now)}
+	p := &hostedPool{Pool: sched.New(pool, n.ver, n.led, n.settings.Sched, now)}
 	p.AdoptOffsets(n.offsetList(pool), now)
 	for id := range n.drains {
 		p.Drain(id, true)
@@ -164,7 +164,7 @@
 			}
 			p.RemoveStale(m.ID, m.Inc, now)
 		}
-		if idle := now.Sub(p.lastReport); idle > idlePoolTTL || (idle > resignTimeout && n.schedulerOf(id) != n.set.ID) {
+		if idle := now.Sub(p.lastReport); idle > idlePoolTTL || (idle > resignTimeout && n.schedulerOf(id) != n.settings.ID) {
 			delete(n.pools, id)
 		}
 	}
@@ -179,7 +179,7 @@
 	}
 	rows := n.entry.Served()
 	for _, r := range rows {
-		n.led.Merge(n.set.ID, n.set.Inc, r.Org, r.NormService)
+		n.led.Merge(n.settings.ID, n.settings.Inc, r.Org, r.NormService)
 	}
 	to := map[wire.NodeID]map[version.ID]wire.LedgerRow{}
 	for _, pool := range n.entry.SaturatedPools() {
@@ -187,7 +187,7 @@
 			n.addLedgerRows(to, scheduler, pool, rows)
 		}
 	}
-	delete(to, n.set.ID)
+	delete(to, n.settings.ID)
 	for _, id := range slices.Sorted(maps.Keys(to)) {
 		n.outbox.To(id).Ledger = &wire.Ledger{Rows: sortedRows(to[id])}
 	}
@@ -234,7 +234,7 @@
 
 func (n *Node) standby(pool version.ID) wire.NodeID {
 	for _, id := range n.schedulersOf(pool) {
-		if id != n.set.ID {
+		if id != n.settings.ID {
 			return id
 		}
 	}
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -117,7 +117,7 @@
 }
 
 // Broke records an attempt at an upstream. It reports whether the upstream is to be probed now.
-func (t *Tracker) Broke(up version.ID, a Attempt, now time.Time) bool {
+func (t *Tracker) AttemptIncomplete(up version.ID, a Attempt, now time.Time) bool {
 	if _, left := t.left[up]; left {
 		return false // a planned end is no evidence against the requests that it still ran
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -23,7 +23,7 @@
 		n.entry.Arrive(in.Request, now)
 		return
 	}
-	attempt := wire.Attempt{Node: n.set.ID, Inc: n.set.Inc, No: in.Request.ID}
+	attempt := wire.Attempt{Node: n.settings.ID, Inc: n.settings.Inc, No: in.Request.ID}
 	a := &pendingProposal{proposal: claim.NewProposal(*in.Key, attempt, n.members.Roster(), now), req: in.Request}
 	n.proposals[in.Request.ID] = a
 	n.advanceProposal(a, now)
@@ -51,7 +51,7 @@
 	delete(n.proposals, a.req.ID)
 	n.sendRelease(a.proposal)
 	verdict, _ := a.proposal.Refusal()
-	n.out = append(n.out, Refuse{ID: a.req.ID, Reason: claimReason(verdict), RetryAfter: claimRetryAfter, Doubt: doubt})
+	n.out = append(n.out, Refuse{ID: a.req.ID, Reason: claimReason(verdict), RetryAfter: claimRetryAfter, MayHaveRun: doubt})
 }
 
 func claimReason(v wire.Verdict) entry.Reason {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -54,9 +54,9 @@
 // View returns a copy of the node's state.
 func (n *Node) View(now time.Time) View {
 	v := View{
-		ID:      n.set.ID,
-		Inc:     n.set.Inc,
-		Place:   n.set.Place,
+		ID:      n.settings.ID,
+		Inc:     n.settings.Inc,
+		Place:   n.settings.Place,
 		Ready:   n.IsReady(now),
 		Leaving: n.leaving,
 		Watches: n.Watches(),
@@ -111,7 +111,7 @@
 	}
 	rank := 0
 	for _, id := range n.members.Live(true) {
-		if m := n.members.Get(id); m != nil && m.Place == n.set.Place && id < n.set.ID {
+		if m := n.members.Get(id); m != nil && m.Place == n.settings.Place && id < n.settings.ID {
 			rank++
 		}
 	}
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -115,13 +115,13 @@
 // Load pattern: organisations send several times their shares while others, at or below
 // their shares, have streams at the same engines.
 func (p *pool) enginesTooBusy(over float64, now time.Time) bool {
-	return over >= 1 && !p.without.Shares && p.busy.ratio(p.open(now), now) > max(minBusyRatio, maxBusyRatio/math.Sqrt(over))
+	return over >= 1 && !p.disabled.Shares && p.busy.ratio(p.open(now), now) > max(minBusyRatio, maxBusyRatio/math.Sqrt(over))
 }
 
 // mustYield reports whether an organisation has to let others go first.
 func (p *pool) mustYield(org version.ID, over float64, now time.Time) bool {
 	switch {
-	case p.without.Shares || over < minYieldOver:
+	case p.disabled.Shares || over < minYieldOver:
 		return false
 	case over < 1:
 		return p.meter.aboveGrantedShare(org, now)
@@ -132,7 +132,7 @@
 // mayRefuse reports whether a request may be refused because of the wait. A request that
 // has been sent before must not be: its work is half done, or its answer half delivered.
 func (p *pool) mayRefuse(a *wire.PlacementRequest) bool {
-	return len(a.Avoid) == 0 && !p.without.Refusals
+	return len(a.Avoid) == 0 && !p.disabled.Refusals
 }
 
 // startRun records a request at its upstream.
@@ -151,7 +151,7 @@
 	p.forget(r.key, false, now)
 	c.up.placeRun(r, now)
 	p.recordColdPlacement(c.up, now)
-	if p.late[from] {
+	if p.overloaded[from] {
 		r.entry.MarkSuspect()
 	}
 	p.runs[r.key] = r
@@ -169,8 +169,8 @@
 	if a.TargetMS == 0 {
 		aim = float64(a.DeadlineMS) / 4
 	}
-	if p.aim > 0 {
-		aim = min(aim, p.aim)
+	if p.targetMS > 0 {
+		aim = min(aim, p.targetMS)
 	}
 	return aim
 }
@@ -181,7 +181,7 @@
 	targetMS := p.requestTargetMS(a)
 	ratio := maxWaitRatio
 	urgency := math.Pow(priorityRankWaitFactor, float64(p.urgency.rank(int(a.Priority))))
-	if !p.without.Shares {
+	if !p.disabled.Shares {
 		ratio = waitRatio(over)
 	}
 	roomMS := targetMS - p.learner.Model().Base - c.ownMS
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -39,9 +39,9 @@
 			if free[o.Instance.ID].After(begun) {
 				begun = free[o.Instance.ID]
 			}
-			free[o.Instance.ID] = begun.Add(time.Duration(o.ReadTokens/30) * time.Millisecond)
+			free[o.Instance.ID] = begun.Add(time.Duration(o.PrefillTokens/30) * time.Millisecond)
 			at := free[o.Instance.ID].Add(20 * time.Millisecond)
-			events = append(events, event{at, []Input{First{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.ProgressDone}}})
+			events = append(events, event{at, []Input{FirstEvent{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.ProgressDone}}})
 		case Refuse:
 			refused[org]++
 			assert.Positive(t, o.After)
@@ -90,7 +90,7 @@
 	p := newPool(tab.Services["s"], 0)
 	a := &wire.PlacementRequest{TargetMS: 1000, DeadlineMS: 4000}
 	patient := p.waitLimit(a, &choice{}, 0)
-	p.aim = strictestTargetMS(tab, "s")
+	p.targetMS = strictestTargetMS(tab, "s")
 	assert.InDelta(t, 0.6*patient, p.waitLimit(a, &choice{}, 0), 1)
 }
 
@@ -104,7 +104,7 @@
 	for no := uint64(2); no < 40; no++ {
 		f.arrive(id, no, engines, "b", 4000)
 	}
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	f.placed(id, 1)
 	f.arrive(id, 50, engines, "a", 500)
@@ -121,7 +121,7 @@
 	}
 	limits := map[int]float64{}
 	for _, got := range []int{300, 800, 1600, 3200} {
-		p.meter.usageOf(1).got = [shareSteps]float64{}
+		p.meter.usageOf(1).granted = [shareSteps]float64{}
 		p.meter.addGrant(1, float64(got), start)
 		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.over(1, start))
 	}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -68,7 +68,7 @@
 	f.arrive(id, 1, engines, "a", 200)
 	require.Equal(t, "e1", f.placed(id, 1).Instance.ID)
 	delete(f.got[id], 1)
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	r, refused := f.got[id][1].(Refuse)
 	require.True(t, refused, "%#v", f.got[id][1])
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -42,7 +42,7 @@
 		}
 		after := 125 * time.Millisecond // by the initial model
 		f.run(after.Round(TickInterval))
-		f.nodes[id].Step(First{ID: no, After: after}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: after}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 		return true
 	}
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -92,7 +92,7 @@
 
 // addHolders adds engines that have cached parts of the prompt, the longest prefixes first.
 func (p *pool) addHolders(a *wire.PlacementRequest) {
-	if p.engine == nil || p.without.Parts {
+	if p.engine == nil || p.disabled.Parts {
 		return
 	}
 	for i := len(a.Parts) - 1; i >= 0; i-- {
--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -104,12 +104,12 @@
 	p := n.pools[id]
 	if p == nil {
 		p = newPool(s, t.Limits.TokensPerSecond)
-		p.without = n.settings.Without
+		p.disabled = n.settings.Disabled
 		p.regions = n.settings.Regions
 		n.pools[id] = p
 	}
 	p.cold = s.Cold
-	p.aim = strictestTargetMS(t, s.Name)
+	p.targetMS = strictestTargetMS(t, s.Name)
 	p.urgency = urgencyOf(t, s.Name)
 	return p
 }
--- a/internal/dispatch/cold_simulation_test.go
+++ b/internal/dispatch/cold_simulation_test.go
@@ -295,14 +295,14 @@
 	i := slices.IndexFunc(known.list, func(i routing.Instance) bool { return i.StartID() == s.place.Instance.StartID() })
 	closed := slices.ContainsFunc(known.evacuated, func(e routing.Evacuation) bool { return e.Place == s.place.Instance.Place })
 	if i < 0 || closed || !s.place.MaySend(known.list[i].ColdUntil, d.now) {
-		n.Step(Again{ID: s.place.ID, Event: wire.ProgressUnused}, d.now)
+		n.Step(PlaceAgain{ID: s.place.ID, Event: wire.ProgressUnused}, d.now)
 		return
 	}
 	since := d.now.Sub(d.began.Add(coldSimColdAt))
 	isCold := s.place.Instance.Place == "p" && since >= 0 && since < coldSimColdFor
 	if s.place.CheckHealth && isCold {
-		n.Step(Looked{Instance: s.place.Instance, ColdFor: coldSimColdFor - since}, d.now)
-		n.Step(Again{ID: s.place.ID, Event: wire.ProgressUnused}, d.now)
+		n.Step(HealthCheckFailed{Instance: s.place.Instance, ColdFor: coldSimColdFor - since}, d.now)
+		n.Step(PlaceAgain{ID: s.place.ID, Event: wire.ProgressUnused}, d.now)
 		return
 	}
 	down := d.cause != causePlaceReturned && since > -coldSimDownFor && since < 0
@@ -315,7 +315,7 @@
 		s.at = d.now
 		d.arrived[s.place.Instance.ID] = append(d.arrived[s.place.Instance.ID], s)
 	}
-	n.Step(First{ID: s.place.ID, After: 20 * time.Millisecond}, d.now)
+	n.Step(FirstEvent{ID: s.place.ID, After: 20 * time.Millisecond}, d.now)
 	n.Step(End{ID: s.place.ID, Event: wire.ProgressDone}, d.now)
 }
 
--- a/internal/dispatch/coldreasons.go
+++ b/internal/dispatch/coldreasons.go
@@ -27,7 +27,7 @@
 	ColdSilent              // it has answered nothing for a while, and may restart
 	ColdRefused             // it has refused a connection, and may restart
 	ColdHealth              // its health check says so
-	ColdTold                // another router reported one of these reasons
+	ColdReported            // another router reported one of these reasons
 )
 
 // String returns the reason as written in logs and on status pages.
@@ -79,7 +79,7 @@
 			continue
 		}
 		for _, u := range p.order {
-			if u.cold.until.After(now) && u.cold.reason != ColdTold {
+			if u.cold.until.After(now) && u.cold.reason != ColdReported {
 				out = append(out, wire.ColdSuspicion{Upstream: u.id, ForMS: remainingMS(u.cold.until, now)})
 			}
 		}
@@ -95,15 +95,15 @@
 	for _, d := range list {
 		for _, p := range n.pools {
 			if u := p.upstreams[d.Upstream]; u != nil && p.cold.RequestsPerSecond > 0 {
-				u.cold.suspect(now.Add(min(time.Duration(d.ForMS)*time.Millisecond, maxSuspicionTTL)), ColdTold)
+				u.cold.suspect(now.Add(min(time.Duration(d.ForMS)*time.Millisecond, maxSuspicionTTL)), ColdReported)
 			}
 		}
 	}
 }
 
-// noteConnRefused records a refused connection that this router met where another router had
+// recordConnRefused records a refused connection that this router met where another router had
 // placed the request, since that router may become unreachable next.
-func (n *Node) noteConnRefused(f *inflightRequest, event uint8, now time.Time) {
+func (n *Node) recordConnRefused(f *inflightRequest, event uint8, now time.Time) {
 	p := n.pools[f.service]
 	if p == nil || f.scheduler == n.settings.ID || event != wire.ProgressRefused {
 		return
@@ -123,8 +123,8 @@
 	u.cold.answeredAt = now
 }
 
-// healthChecked applies the result of a health check.
-func (n *Node) healthChecked(in Looked, now time.Time) {
+// healthCheckFailed applies the result of a health check.
+func (n *Node) healthCheckFailed(in HealthCheckFailed, now time.Time) {
 	p, u := n.upstreamOf(in.Instance)
 	if u == nil {
 		return
--- a/internal/dispatch/conns.go
+++ b/internal/dispatch/conns.go
@@ -17,14 +17,14 @@
 	until map[wire.NodeID][]time.Time // when each connection will have been closed, in order
 }
 
-func (c *conns) kept(node wire.NodeID, now time.Time) bool {
+func (c *conns) cached(node wire.NodeID, now time.Time) bool {
 	list := c.until[node]
 	return len(list) > 0 && now.Before(list[len(list)-1])
 }
 
 // use takes a kept connection, or opens a new one.
 func (c *conns) use(node wire.NodeID, now time.Time) {
-	if !c.kept(node, now) {
+	if !c.cached(node, now) {
 		delete(c.until, node)
 		return
 	}
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -16,7 +16,7 @@
 // Broke reports that an attempt ended without a complete answer though the upstream may
 // have run it. Early is set if the answer had no event yet, Lost if the upstream's side
 // closed the connection.
-type Broke struct {
+type AttemptIncomplete struct {
 	Content  fingerprint.Fingerprint
 	Org      string
 	Instance routing.Instance
@@ -32,9 +32,9 @@
 // Answered reports that a request suspected of crashes has been answered completely.
 type Answered struct{ Content fingerprint.Fingerprint }
 
-func (Broke) input()       {}
-func (ConnRefused) input() {}
-func (Answered) input()    {}
+func (AttemptIncomplete) input() {}
+func (ConnRefused) input()       {}
+func (Answered) input()          {}
 
 // Probe asks the driver to check whether an instance's address refuses connections.
 type Probe struct{ Instance routing.Instance }
@@ -67,12 +67,12 @@
 }
 
 // broke handles an attempt that ended without a complete answer.
-func (n *Node) broke(in Broke, now time.Time) {
+func (n *Node) attemptIncomplete(in AttemptIncomplete, now time.Time) {
 	if n.isLeaving(in.Instance) {
 		return // the end is planned, and proves nothing about the requests that still run there
 	}
 	a := quarantine.Attempt{Content: in.Content, Org: version.IDOf(in.Org), Began: in.Began, Early: in.Early, Lost: in.Lost}
-	if n.crashes.Broke(version.IDOf(in.Instance.StartID()), a, now) {
+	if n.crashes.AttemptIncomplete(version.IDOf(in.Instance.StartID()), a, now) {
 		n.out = append(n.out, Probe{Instance: in.Instance})
 	}
 }
@@ -105,8 +105,8 @@
 	n.out = append(n.out, UpstreamEnded{Instance: i, By: by, Running: running})
 }
 
-// attachQuarantineSum adds the checksum of the held requests to the datagram for a router.
-func (n *Node) attachQuarantineSum(to wire.NodeID) {
+// attachQuarantineChecksum adds the checksum of the held requests to the datagram for a router.
+func (n *Node) attachQuarantineChecksum(to wire.NodeID) {
 	c := n.outbox.Crashes(to)
 	c.HasChecksum, c.Checksum = true, n.crashes.Checksum()
 }
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -21,18 +21,18 @@
 const crashingRequest fingerprint.Fingerprint = 0xdead
 
 // broke ends an attempt at an engine without an answer.
-func (f *fleet) broke(id wire.NodeID, c fingerprint.Fingerprint, inst routing.Instance, lost bool) {
-	f.nodes[id].Step(Broke{Content: c, Org: "alpha", Instance: inst, Began: f.now, Lost: lost}, f.now)
+func (f *fleet) attemptIncomplete(id wire.NodeID, c fingerprint.Fingerprint, inst routing.Instance, lost bool) {
+	f.nodes[id].Step(AttemptIncomplete{Content: c, Org: "alpha", Instance: inst, Began: f.now, Lost: lost}, f.now)
 	f.deliver()
 }
 
 // crash ends an engine during an attempt of a router, which then sees its connections
 // refused.
 func (f *fleet) crash(id wire.NodeID, c fingerprint.Fingerprint, inst routing.Instance) {
-	f.crashed(id, Broke{Content: c, Org: "alpha", Instance: inst, Began: f.now, Lost: true})
+	f.crashed(id, AttemptIncomplete{Content: c, Org: "alpha", Instance: inst, Began: f.now, Lost: true})
 }
 
-func (f *fleet) crashed(id wire.NodeID, b Broke) {
+func (f *fleet) crashed(id wire.NodeID, b AttemptIncomplete) {
 	f.nodes[id].Step(b, f.now)
 	f.nodes[id].Step(ConnRefused{Instance: b.Instance}, f.now)
 	f.deliver()
@@ -75,7 +75,7 @@
 	f := newFleet(t, 3, 9)
 	list := instances(9)
 	for i := range 9 {
-		f.broke(f.order[i%3], crashingRequest, list[i], true)
+		f.attemptIncomplete(f.order[i%3], crashingRequest, list[i], true)
 		f.run(2 * TickInterval)
 	}
 	f.run(5 * time.Second)
@@ -94,7 +94,7 @@
 				all[i].Draining = true
 				f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: all, Revision: 6, AsOf: 9}, f.now)
 			}
-			f.broke(id, crashingRequest, all[i], false)
+			f.attemptIncomplete(id, crashingRequest, all[i], false)
 			f.run(3600 * time.Millisecond)
 			f.nodes[id].Step(Catalogue{Table: table(t, 390_000), Instances: all[i+1:], Revision: uint64(7 + i), AsOf: uint64(10 + i)}, f.now)
 		}
@@ -123,7 +123,7 @@
 	id := f.order[0]
 	f.nodes[id].Step(ConnRefused{Instance: instances(4)[0]}, f.now)
 	f.run(time.Second)
-	f.broke(id, crashingRequest, instances(4)[0], false)
+	f.attemptIncomplete(id, crashingRequest, instances(4)[0], false)
 	assert.Equal(t, 1, f.stateAt(id, crashingRequest).Crashes)
 }
 
@@ -132,7 +132,7 @@
 	n := f.nodes[f.order[0]]
 	probes := 0
 	for i := range 30 {
-		n.Step(Broke{Content: fingerprint.Fingerprint(i), Org: "alpha", Instance: instances(2)[0], Lost: true}, f.now)
+		n.Step(AttemptIncomplete{Content: fingerprint.Fingerprint(i), Org: "alpha", Instance: instances(2)[0], Lost: true}, f.now)
 	}
 	for _, o := range n.Ready(f.now) {
 		if _, ok := o.(Probe); ok {
@@ -246,7 +246,7 @@
 	began := f.now
 	f.run(200 * time.Millisecond)
 	for i, id := range f.order {
-		f.nodes[id].Step(Broke{Content: crashingRequest, Org: "alpha", Instance: list[i], Began: began, Early: true, Lost: true}, f.now)
+		f.nodes[id].Step(AttemptIncomplete{Content: crashingRequest, Org: "alpha", Instance: list[i], Began: began, Early: true, Lost: true}, f.now)
 		f.nodes[id].Step(ConnRefused{Instance: list[i]}, f.now)
 	}
 	f.run(time.Second)
@@ -295,7 +295,7 @@
 			}
 			content := fingerprint.Fingerprint(1 + s*100 + crashesAtAnswer[s])
 			inst := routing.Instance{ID: fmt.Sprintf("e%d-%d", e, life[e]), Service: engines, Address: "10.0.0.9:1", Place: "p"}
-			f.crashed(f.order[s%3], Broke{Content: content, Org: "alpha", Instance: inst, Began: f.now, Early: rnd.IntN(10) == 0, Lost: true})
+			f.crashed(f.order[s%3], AttemptIncomplete{Content: content, Org: "alpha", Instance: inst, Began: f.now, Early: rnd.IntN(10) == 0, Lost: true})
 			at[s] = rnd.IntN(engineCount)
 		}
 		for e := first; e < first+rack; e++ {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -41,14 +41,14 @@
 	a, b := f.order[0], f.order[1]
 	f.arrive(a, 1, engines, "a", 9000, parts...)
 	first := f.placed(a, 1)
-	assert.Equal(t, 9000, first.ReadTokens)
-	f.nodes[a].Step(First{ID: 1, After: 300 * time.Millisecond}, f.now)
+	assert.Equal(t, 9000, first.PrefillTokens)
+	f.nodes[a].Step(FirstEvent{ID: 1, After: 300 * time.Millisecond}, f.now)
 	f.run(300 * time.Millisecond)
 	f.nodes[a].Step(End{ID: 1, Event: wire.ProgressDone}, f.now)
 	f.arrive(b, 1, engines, "b", 8000, parts...)
 	second := f.placed(b, 1)
 	assert.Equal(t, first.Instance.ID, second.Instance.ID)
-	assert.Equal(t, 8000-6200, second.ReadTokens)
+	assert.Equal(t, 8000-6200, second.PrefillTokens)
 }
 
 func TestCachedPartsAreFetchedFromABusyEngine(t *testing.T) {
@@ -57,13 +57,13 @@
 	a := f.order[0]
 	f.arrive(a, 1, engines, "a", 6500, parts...)
 	home := f.placed(a, 1)
-	f.nodes[a].Step(First{ID: 1, After: 250 * time.Millisecond}, f.now)
+	f.nodes[a].Step(FirstEvent{ID: 1, After: 250 * time.Millisecond}, f.now)
 	f.run(300 * time.Millisecond)
 	for no := uint64(2); no < 12; no++ {
 		f.arrive(a, no, engines, "a", 7500, parts...)
 		if p := f.placed(a, no); p.Instance.ID != home.Instance.ID {
 			assert.Equal(t, home.Instance.Address, p.Source)
-			assert.Equal(t, 1500, p.ReadTokens)
+			assert.Equal(t, 1500, p.PrefillTokens)
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 				event = wire.ProgressFailed
 				failed++
 			} else {
-				f.nodes[id].Step(First{ID: each, After: map[bool]time.Duration{true: 40, false: 120}[each == no] * time.Millisecond}, f.now)
+				f.nodes[id].Step(FirstEvent{ID: each, After: map[bool]time.Duration{true: 40, false: 120}[each == no] * time.Millisecond}, f.now)
 			}
 			f.nodes[id].Step(End{ID: each, Event: event}, f.now)
 		}
@@ -165,7 +165,7 @@
 	}
 	f.run(heartbeatInterval)
 	for no := uint64(1); no <= 5; no++ {
-		f.nodes[id].Step(First{ID: no, After: 90 * time.Millisecond}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: 90 * time.Millisecond}, f.now)
 	}
 	f.run(2 * TickInterval)
 	p := f.nodes[s].pools[serviceID(engines)]
@@ -194,7 +194,7 @@
 	id := f.order[0]
 	f.arrive(id, 1, engines, "a", 500)
 	first := f.placed(id, 1).Instance.ID
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	assert.NotEqual(t, first, f.placed(id, 1).Instance.ID)
 }
@@ -311,7 +311,7 @@
 			after *= 3
 		}
 		open = append(open, no)
-		f.nodes[id].Step(First{ID: no, After: after}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: after}, f.now)
 		if len(open) > 4 { // four at a time
 			f.nodes[id].Step(End{ID: open[0], Event: wire.ProgressDone}, f.now)
 			open = open[1:]
--- a/internal/dispatch/evacuation.go
+++ b/internal/dispatch/evacuation.go
@@ -51,7 +51,7 @@
 		tokensPerSecond *= float64(open) / float64(all)
 	}
 	p.meter.setCapacity(tokensPerSecond)
-	p.here.setCapacity(tokensPerSecond)
+	p.local.setCapacity(tokensPerSecond)
 }
 
 // closed reports whether an upstream must get nothing new.
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -86,7 +86,7 @@
 	require.Equal(t, "p", f.placed(id, 1).Instance.Place)
 	f.publishAll(list, "p")
 	f.nodes[id].Step(UpdateSettings{Retry: RetryRules{Window: time.Second}}, f.now)
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressUnused}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressUnused}, f.now)
 	f.deliver()
 	assert.Equal(t, "q", f.placed(id, 1).Instance.Place)
 }
@@ -115,7 +115,7 @@
 	for _, id := range f.order {
 		p := f.nodes[id].pools[serviceID(engines)]
 		assert.InDelta(t, whole/3, p.meter.capacity, 1)
-		assert.InDelta(t, whole/3, p.here.capacity, 1)
+		assert.InDelta(t, whole/3, p.local.capacity, 1)
 	}
 	f.publishAll(list)
 	assert.Equal(t, whole, f.nodes[f.order[0]].pools[serviceID(engines)].meter.capacity)
@@ -131,7 +131,7 @@
 	id := f.order[0]
 	f.arrive(id, 1, engines, "a", 6500, parts...)
 	require.Equal(t, "p", f.placed(id, 1).Instance.Place)
-	f.nodes[id].Step(First{ID: 1, After: 250 * time.Millisecond}, f.now)
+	f.nodes[id].Step(FirstEvent{ID: 1, After: 250 * time.Millisecond}, f.now)
 	f.run(time.Second)
 	f.publishAll(list, "p")
 	f.arrive(id, 2, engines, "a", 6500, parts...)
--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -156,7 +156,7 @@
 // requests and the upstreams that are leaving go along with it.
 func (n *Node) attachStoreState(to wire.NodeID, now time.Time) {
 	w := n.work(to)
-	n.attachQuarantineSum(to)
+	n.attachQuarantineChecksum(to)
 	n.attachLeaving(to, now)
 	w.Revision, w.Table = n.completeUpTo(), n.tableNumber()
 	w.Reading, w.StoreUnreachable = n.store.current(now), n.store.isUnreachable(now)
@@ -263,7 +263,7 @@
 // handleStoreState handles what a router announces of the store.
 func (n *Node) handleStoreState(from wire.NodeID, w *wire.Dispatch, now time.Time) {
 	n.handleStoreUnreachable(from, w.StoreUnreachable, now)
-	n.noteNewerContent(from, newerContent{revision: w.Revision, table: w.Table}, now)
+	n.recordNewerContent(from, newerContent{revision: w.Revision, table: w.Table}, now)
 }
 
 // handleHeartbeat handles a router's heartbeat.
--- a/internal/dispatch/inflight.go
+++ b/internal/dispatch/inflight.go
@@ -35,7 +35,7 @@
 	n.inflight[r.ID] = f
 	n.budget(f.service).countRequest(now)
 	if p := n.pools[f.service]; p != nil {
-		p.here.addRequest(version.IDOf(r.Org), f.cost(), now)
+		p.local.addRequest(version.IDOf(r.Org), f.cost(), now)
 	}
 	n.findPlacement(f, now)
 }
@@ -71,7 +71,7 @@
 // old for upstreams with few slots. Requests to cold upstreams have to be counted over all
 // routers.
 func (n *Node) needsScheduler(p *pool, now time.Time) bool {
-	return (p.engine != nil || n.isLarge() || p.hasCold(now)) && !n.settings.Without.Scheduler
+	return (p.engine != nil || n.isLarge() || p.hasCold(now)) && !n.settings.Disabled.Scheduler
 }
 
 func (n *Node) sendPlacementRequest(f *inflightRequest, now time.Time) {
@@ -131,7 +131,7 @@
 	f.upstreamID, f.scheduler, f.work, f.firstEvent, f.orphan = u.id, scheduler, e.work, false, false
 	n.Counts.Placed++
 	n.addLocalGrant(f, f.cost(), now)
-	o := Placement{ID: f.req.ID, Instance: u.inst, By: scheduler, WaitMS: e.waitMS, ReadTokens: e.work, PrefillMS: e.ownMS, Revision: n.catalogue.Revision}
+	o := Placement{ID: f.req.ID, Instance: u.inst, By: scheduler, WaitMS: e.waitMS, PrefillTokens: e.work, PrefillMS: e.ownMS, Revision: n.catalogue.Revision}
 	if source != nil {
 		o.Source = source.inst.Address
 	}
@@ -149,7 +149,7 @@
 // it back.
 func (n *Node) addLocalGrant(f *inflightRequest, tokens float64, now time.Time) {
 	if p := n.pools[f.service]; p != nil {
-		p.here.addGrant(version.IDOf(f.req.Org), tokens, now)
+		p.local.addGrant(version.IDOf(f.req.Org), tokens, now)
 	}
 }
 
@@ -225,17 +225,17 @@
 
 // suspectScheduler skips a silent scheduler for a while.
 func (n *Node) suspectScheduler(id wire.NodeID, now time.Time) {
-	if until := n.silent[id]; now.After(until) {
+	if until := n.excluded[id]; now.After(until) {
 		n.event(Event{Name: "scheduler-silent", Router: id, Detail: "decided here"})
 	}
 	n.lastSilenceAt = now
-	n.silent[id] = now.Add(silentRouterExclusion)
+	n.excluded[id] = now.Add(silentRouterExclusion)
 	clear(n.rankings)
 	n.members.Suspect(id, now)
 }
 
 // retryElsewhere looks for another upstream for a request.
-func (n *Node) retryElsewhere(in Again, now time.Time) {
+func (n *Node) retryElsewhere(in PlaceAgain, now time.Time) {
 	f := n.inflight[in.ID]
 	if f == nil || f.upstreamID == 0 {
 		return
@@ -262,7 +262,7 @@
 // each other do not spend more of the retry budget together.
 func (n *Node) fleetSize() int { return n.members.Known() }
 
-func (n *Node) firstEvent(in First, now time.Time) {
+func (n *Node) firstEvent(in FirstEvent, now time.Time) {
 	f := n.inflight[in.ID]
 	if f == nil || f.upstreamID == 0 {
 		return
@@ -300,7 +300,7 @@
 	if !f.firstEvent && (note.Event == wire.ProgressUnused || wire.IsFailure(note.Event)) {
 		n.revertLocalGrant(f, now)
 	}
-	n.noteConnRefused(f, note.Event, now)
+	n.recordConnRefused(f, note.Event, now)
 	if f.scheduler == n.settings.ID {
 		if p := n.pools[f.service]; p != nil {
 			p.note(n.settings.ID, note, now)
--- a/internal/dispatch/io.go
+++ b/internal/dispatch/io.go
@@ -59,13 +59,13 @@
 // Again asks for another upstream for a placed request, since the one it had failed
 // (Event is one of the wire.Note constants). With NoteUnused nothing was sent, and the
 // request does not count as a retry.
-type Again struct {
+type PlaceAgain struct {
 	ID    uint64
 	Event uint8
 }
 
 // First reports a request's first event. After is the time since the request was sent.
-type First struct {
+type FirstEvent struct {
 	ID    uint64
 	After time.Duration
 }
@@ -148,7 +148,7 @@
 
 // Looked is the result of a health check of an instance that takes no request now: it is
 // cold for ColdFor, or was not reached if that is 0.
-type Looked struct {
+type HealthCheckFailed struct {
 	Instance routing.Instance
 	ColdFor  time.Duration
 }
@@ -163,19 +163,19 @@
 // Leave begins a planned stop.
 type Leave struct{}
 
-func (Receive) input()          {}
-func (Arrive) input()           {}
-func (Again) input()            {}
-func (First) input()            {}
-func (End) input()              {}
-func (Catalogue) input()        {}
-func (StoreRead) input()        {}
-func (CacheUpdate) input()      {}
-func (CaughtUp) input()         {}
-func (LoadShed) input()         {}
-func (StoreUnreachable) input() {}
-func (CPUOverload) input()      {}
-func (Looked) input()           {}
+func (Receive) input()           {}
+func (Arrive) input()            {}
+func (PlaceAgain) input()        {}
+func (FirstEvent) input()        {}
+func (End) input()               {}
+func (Catalogue) input()         {}
+func (StoreRead) input()         {}
+func (CacheUpdate) input()       {}
+func (CaughtUp) input()          {}
+func (LoadShed) input()          {}
+func (StoreUnreachable) input()  {}
+func (CPUOverload) input()       {}
+func (HealthCheckFailed) input() {}
 
 func (LeaveNotice) input() {}
 func (RetryAfter) input()  {}
@@ -197,14 +197,14 @@
 
 // Placement says where a request runs.
 type Placement struct {
-	ID         uint64
-	Instance   routing.Instance
-	Source     string // address of an engine from which to fetch cached prompt parts, or ""
-	By         wire.NodeID
-	WaitMS     int    // expected wait behind other requests
-	ReadTokens int    // expected tokens to prefill
-	PrefillMS  int    // expected time from the end of the wait to the first event
-	Revision   uint64 // of the store's content it was decided on here
+	ID            uint64
+	Instance      routing.Instance
+	Source        string // address of an engine from which to fetch cached prompt parts, or ""
+	By            wire.NodeID
+	WaitMS        int    // expected wait behind other requests
+	PrefillTokens int    // expected tokens to prefill
+	PrefillMS     int    // expected time from the end of the wait to the first event
+	Revision      uint64 // of the store's content it was decided on here
 	// Cold says that the upstream is cold: the request must be sent by SendBy, or not at
 	// all.
 	Cold   bool
--- a/internal/dispatch/learnedmodel.go
+++ b/internal/dispatch/learnedmodel.go
@@ -14,7 +14,7 @@
 func (n *Node) learnedModels() []wire.PrefillModel {
 	var out []wire.PrefillModel
 	for _, p := range n.pools {
-		if p.engine == nil || p.learner.Seen() == 0 {
+		if p.engine == nil || p.learner.SampleCount() == 0 {
 			continue
 		}
 		out = append(out, p.learnedModel())
@@ -42,7 +42,7 @@
 			continue
 		}
 		p.loggedModel = m
-		n.event(Event{Name: "prefill-model", Value: uint64(p.learner.Seen()),
+		n.event(Event{Name: "prefill-model", Value: uint64(p.learner.SampleCount()),
 			Detail: fmt.Sprintf("%s: base %.1f ms, %.2f ms a thousand tokens, %.3f ms a million pairs, %.2f ms a thousand fetched", p.service, m.Base, 1000*m.PerToken, m.PerPair, 1000*m.PerFetched)})
 	}
 }
@@ -59,7 +59,7 @@
 // learnedModel is the model of the pool's engines in the form sent to peers.
 func (p *pool) learnedModel() wire.PrefillModel {
 	m := p.learner.Model()
-	return wire.PrefillModel{Service: p.id, Base: float32(m.Base), PerToken: float32(m.PerToken), PerPair: float32(m.PerPair), PerFetched: float32(m.PerFetched), Samples: uint32(p.learner.Seen())}
+	return wire.PrefillModel{Service: p.id, Base: float32(m.Base), PerToken: float32(m.PerToken), PerPair: float32(m.PerPair), PerFetched: float32(m.PerFetched), Samples: uint32(p.learner.SampleCount())}
 }
 
 // modelFromWire converts a model received from a peer.
--- a/internal/dispatch/learnedmodel_test.go
+++ b/internal/dispatch/learnedmodel_test.go
@@ -20,7 +20,7 @@
 		f.arrive(id, no, engines, "a", input)
 		after := 50*time.Millisecond + time.Duration(input)*10*time.Microsecond // 100 tokens a millisecond
 		f.run(after.Round(TickInterval))
-		f.nodes[id].Step(First{ID: no, After: after}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: after}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 	}
 	f.run(time.Second)
@@ -80,7 +80,7 @@
 	learner := f.nodes[id].pools[serviceID(engines)].learner
 	for no := uint64(1); no <= 60; no++ {
 		f.arrive(id, no, engines, "a", 100)
-		f.nodes[id].Step(First{ID: no, After: map[bool]time.Duration{true: time.Hour, false: -time.Hour}[no%2 == 0]}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: map[bool]time.Duration{true: time.Hour, false: -time.Hour}[no%2 == 0]}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 		f.run(3 * time.Second)
 	}
--- a/internal/dispatch/localdecision.go
+++ b/internal/dispatch/localdecision.go
@@ -22,10 +22,10 @@
 }
 
 // usageSum is in tokens as counted by Cost.
-type usageSum struct{ wanted, placed float64 }
+type usageSum struct{ requested, placed float64 }
 
 func (s usageSum) plus(wanted, placed float64) usageSum {
-	return usageSum{s.wanted + wanted, s.placed + placed}
+	return usageSum{s.requested + wanted, s.placed + placed}
 }
 
 func newLocalUsage() localUsage { return localUsage{sums: map[serviceOrg]usageSum{}} }
@@ -39,7 +39,7 @@
 	for _, t := range in.Work {
 		k := serviceOrg{serviceID(t.Service), version.IDOf(t.Org)}
 		if p := n.pools[k.service]; p != nil {
-			p.here.addRequest(k.org, t.Tokens, now)
+			p.local.addRequest(k.org, t.Tokens, now)
 		}
 		n.unreportedUsage.add(k, t.Tokens, 0)
 		n.reports.addShed(k, t.Tokens)
@@ -83,7 +83,7 @@
 		if p == nil || p.engine == nil {
 			continue
 		}
-		u := wire.LocalUsage{Service: k.service, Org: k.org, Requested: int64(s.wanted), Placed: int64(s.placed)}
+		u := wire.LocalUsage{Service: k.service, Org: k.org, Requested: int64(s.requested), Placed: int64(s.placed)}
 		to := n.schedulerOf(p.id, now)
 		if to == n.settings.ID {
 			n.handleLocalUsage(n.settings.ID, u, now)
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -75,12 +75,12 @@
 	Regions map[string]string
 	Seed    uint64 // of the node's random numbers
 
-	Without Without // for ablation measurements
+	Disabled Disabled // for ablation measurements
 }
 
 // Without switches mechanisms off, to measure what each one contributes
 // (internal/lab/tokens). Routers switch none off.
-type Without struct {
+type Disabled struct {
 	Shares    bool // all organisations are treated alike, whatever they have used
 	Parts     bool // the engines' prefix caches are not modelled
 	Fetch     bool // cached parts are never fetched from another engine
@@ -100,7 +100,7 @@
 	inflight         map[uint64]*inflightRequest
 	budgets          map[version.ID]*retryBudget
 	rankings         map[version.ID]*ranking
-	silent           map[wire.NodeID]time.Time // routers that are passed over, and until when
+	excluded         map[wire.NodeID]time.Time // routers that are passed over, and until when
 	newerContent     map[wire.NodeID]newerContent
 	readParts        []wire.CachedPartUpdate // prefilled since the last heartbeat
 	unreportedUsage  localUsage
@@ -163,7 +163,7 @@
 		pools:            map[version.ID]*pool{},
 		inflight:         map[uint64]*inflightRequest{},
 		budgets:          map[version.ID]*retryBudget{},
-		silent:           map[wire.NodeID]time.Time{},
+		excluded:         map[wire.NodeID]time.Time{},
 		rankings:         map[version.ID]*ranking{},
 		newerContent:     map[wire.NodeID]newerContent{},
 		store:            newStoreReadings(),
@@ -192,9 +192,9 @@
 		n.receive(in.Datagram, now)
 	case Arrive:
 		n.arrive(in.Request, now)
-	case Again:
+	case PlaceAgain:
 		n.retryElsewhere(in, now)
-	case First:
+	case FirstEvent:
 		n.firstEvent(in, now)
 	case End:
 		n.end(in, now)
@@ -216,14 +216,14 @@
 		n.applySettings(in, now)
 	case SnapshotFetched:
 		n.applySnapshot(in, now)
-	case Broke:
-		n.broke(in, now)
+	case AttemptIncomplete:
+		n.attemptIncomplete(in, now)
 	case ConnRefused:
 		n.upstreamEnded(in.Instance, "connection refused", now)
 	case Answered:
 		n.crashes.Answered(in.Content, now)
-	case Looked:
-		n.healthChecked(in, now)
+	case HealthCheckFailed:
+		n.healthCheckFailed(in, now)
 	case RetryAfter:
 		n.handleRetryAfter(in, now)
 	case LeaveNotice:
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -65,14 +65,14 @@
 // The median engine seemed 100 to 700 ms behind, and organisations under their shares were
 // refused everywhere while engines had nothing to read.
 func (p *pool) setOverloaded(id wire.NodeID, late bool) {
-	if p.late[id] == late {
+	if p.overloaded[id] == late {
 		return
 	}
 	if !late {
-		delete(p.late, id)
+		delete(p.overloaded, id)
 		return
 	}
-	p.late[id] = true
+	p.overloaded[id] = true
 	for k, r := range p.runs {
 		if k.node == id && r.entry != nil {
 			r.entry.MarkSuspect()
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -17,7 +17,7 @@
 	id := f.other()
 	f.nodes[id].Step(CPUOverload{On: true}, f.now)
 	p := f.nodes[f.scheduler()].pools[serviceID(engines)]
-	before := p.learner.Seen()
+	before := p.learner.SampleCount()
 	for no := uint64(1); no <= 4; no++ {
 		f.run(TickInterval)
 		f.arrive(id, no, engines, "a", 4000)
@@ -28,17 +28,17 @@
 		assert.Zero(t, u.backlog(p.learner.Model(), f.now), "the prompts have been read since")
 	}
 	for no := uint64(1); no <= 4; no++ {
-		f.nodes[id].Step(First{ID: no, After: time.Second}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: time.Second}, f.now)
 	}
 	f.run(100 * time.Millisecond)
-	assert.Equal(t, before, p.learner.Seen())
+	assert.Equal(t, before, p.learner.SampleCount())
 	for _, u := range p.order {
 		assert.InDelta(t, 1, u.queue.Slow(p.learner.Model(), f.now), 0.01)
 		assert.Zero(t, u.queue.Len())
 	}
 	f.nodes[id].Step(CPUOverload{On: false}, f.now)
 	f.run(overloadHoldDuration + time.Second)
-	assert.Empty(t, p.late)
+	assert.Empty(t, p.overloaded)
 }
 
 // When a router announces its overload, the times of requests that it has placed before
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -22,8 +22,8 @@
 	for _, s := range n.members.Handle(d, now) {
 		n.outbox.Add(s)
 	}
-	if _, was := n.silent[d.From]; was {
-		delete(n.silent, d.From)
+	if _, was := n.excluded[d.From]; was {
+		delete(n.excluded, d.From)
 		clear(n.rankings)
 		n.event(Event{Name: "router-heard-again", Router: d.From})
 	}
@@ -35,14 +35,14 @@
 		n.attachStoreState(d.From, now) // it needs a table, and knows no other router yet
 	}
 	if d.Dispatch != nil {
-		n.receiveWork(d.From, d.Dispatch, now)
+		n.handleDispatch(d.From, d.Dispatch, now)
 	}
 	if d.Crashes != nil {
 		n.outbox.ReplyCrashes(d.From, n.crashes.HandleUpdate(d.From, d.Crashes, now))
 	}
 }
 
-func (n *Node) receiveWork(from wire.NodeID, w *wire.Dispatch, now time.Time) {
+func (n *Node) handleDispatch(from wire.NodeID, w *wire.Dispatch, now time.Time) {
 	n.setOverloaded(from, w.Overloaded)
 	for _, note := range w.ProgressNotes {
 		n.handleNote(from, note, now)
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -181,12 +181,12 @@
 func (p *pool) findPrefixHolder(upstreams []*upstream, a *wire.PlacementRequest, now time.Time) *upstream {
 	var holder *upstream
 	for _, u := range upstreams {
-		u.kept, u.ready = 0, 0
-		if p.without.Parts {
+		u.cached, u.ready = 0, 0
+		if p.disabled.Parts {
 			continue
 		}
-		u.kept, u.ready = u.cache.prefix(a.Parts)
-		if p.without.Fetch || u.ready == 0 || u.evacuated || !u.inAllowedRegion(a.Regions) || u.ejection.active(now) {
+		u.cached, u.ready = u.cache.prefix(a.Parts)
+		if p.disabled.Fetch || u.ready == 0 || u.evacuated || !u.inAllowedRegion(a.Regions) || u.ejection.active(now) {
 			continue
 		}
 		if holder == nil || u.ready > holder.ready {
@@ -200,7 +200,7 @@
 func (p *pool) estimate(u *upstream, from wire.NodeID, a *wire.PlacementRequest, holder *upstream, now time.Time) choice {
 	m := p.learner.Model()
 	c := choice{up: u, waitMS: u.backlog(m, now)}
-	kept, fetched := u.kept, 0
+	kept, fetched := u.cached, 0
 	if holder != nil && holder != u && holder.ready > kept {
 		fetched = holder.ready - kept
 		kept = holder.ready
@@ -213,7 +213,7 @@
 	if u.place != a.Place {
 		c.penaltyMS += crossPlaceCostMS
 	}
-	if !p.without.ConnReuse && !u.conns.kept(from, now) {
+	if !p.disabled.ConnReuse && !u.conns.cached(from, now) {
 		c.penaltyMS += newConnCostMS
 	}
 	if u.inUse == notInUse && !p.isSmall() {
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -34,15 +34,15 @@
 	runs             map[runKey]*run
 	learner          *prefill.Learner // of the engines' times to the first event
 	loggedModel      prefill.Model    // as last written to the log
-	aim              float64          // the strictest target latency of the routes to it, in milliseconds, 0 if unknown
+	targetMS         float64          // the strictest target latency of the routes to it, in milliseconds, 0 if unknown
 	baseline         baselineLatency  // of a plain service
 	meter            *meter           // of the whole fleet, as far as this router decides
-	here             *meter           // of the requests received by this router, whoever decided
+	local            *meter           // of the requests received by this router, whoever decided
 	busy             busyMeter        // of prefilling
 	urgency          urgency
-	late             map[wire.NodeID]bool // routers that reported themselves overloaded
+	overloaded       map[wire.NodeID]bool // routers that reported themselves overloaded
 	withoutScheduler bool                 // the current decision is not made by the fleet's scheduler
-	without          Without
+	disabled         Disabled
 
 	regions     map[string]string // by place
 	cold        routing.Cold      // limits for cold upstreams
@@ -66,9 +66,9 @@
 		loggedModel: prefill.Prior,
 		baseline:    initialBaselineMS,
 		meter:       newMeter(tokensPerSecond),
-		here:        newMeter(tokensPerSecond),
+		local:       newMeter(tokensPerSecond),
 		busy:        newBusyMeter(),
-		late:        map[wire.NodeID]bool{},
+		overloaded:  map[wire.NodeID]bool{},
 		backoffs:    backoffs{},
 
 		statedBy: map[wire.NodeID][]*upstream{},
@@ -190,7 +190,7 @@
 	p.meter.addStart(r.org, r.cost, now)
 	if r.entry.IsSuspect() {
 		r.up.queue.CompleteAsExpected(r.entry, p.learner.Model(), now)
-	} else if s, ok := r.up.queue.FirstEvent(r.entry, gotMS, p.learner.Model(), now); ok && !p.without.Learning {
+	} else if s, ok := r.up.queue.FirstEvent(r.entry, gotMS, p.learner.Model(), now); ok && !p.disabled.Learning {
 		p.learner.Add(s)
 	}
 	r.up.markRead(r, now)
--- a/internal/dispatch/prefill/learn.go
+++ b/internal/dispatch/prefill/learn.go
@@ -56,12 +56,12 @@
 // Learner fits a model to the latest samples by least squares with reduced weights for
 // outliers. The zero value is not usable; see NewLearner.
 type Learner struct {
-	model    Model
-	prior    Model
-	samples  []Sample // a ring once it is full
-	next     int
-	seen     int
-	sinceFit int // samples since the last fit
+	model       Model
+	prior       Model
+	samples     []Sample // a ring once it is full
+	next        int
+	sampleCount int
+	sinceFit    int // samples since the last fit
 }
 
 // NewLearner returns a learner whose model is Prior.
@@ -71,15 +71,15 @@
 func (l *Learner) Model() Model { return l.model }
 
 // Seen returns the number of samples, including those behind an inherited model.
-func (l *Learner) Seen() int { return l.seen }
+func (l *Learner) SampleCount() int { return l.sampleCount }
 
 // Inherit adopts the model of a peer that has seen more samples. It becomes the prior of
 // all later fits, so that a new scheduler starts from it.
 func (l *Learner) Inherit(m Model, seen int) {
-	if seen <= l.seen || !m.usable() {
+	if seen <= l.sampleCount || !m.usable() {
 		return
 	}
-	l.model, l.prior, l.seen = m, m, seen
+	l.model, l.prior, l.sampleCount = m, m, seen
 	l.samples, l.next, l.sinceFit = l.samples[:0], 0, 0
 }
 
@@ -95,9 +95,9 @@
 		l.samples[l.next] = s
 		l.next = (l.next + 1) % maxSamples
 	}
-	l.seen++
+	l.sampleCount++
 	l.sinceFit++
-	if l.sinceFit >= fitInterval || l.seen <= fitInterval && l.sinceFit >= firstFitInterval {
+	if l.sinceFit >= fitInterval || l.sampleCount <= fitInterval && l.sinceFit >= firstFitInterval {
 		l.sinceFit = 0
 		l.fit()
 	}
--- a/internal/dispatch/prefill/prefill_test.go
+++ b/internal/dispatch/prefill/prefill_test.go
@@ -67,7 +67,7 @@
 		assert.False(t, l.Add(Sample{Prompt: PromptOf(10, 0, 10), MS: ms, IdleStarts: 1}), "%v", ms)
 	}
 	assert.False(t, l.Add(Sample{Prompt: Prompt{Tokens: math.NaN()}, MS: 1}))
-	assert.Zero(t, l.Seen())
+	assert.Zero(t, l.SampleCount())
 	assert.Equal(t, Prior, l.Model())
 	l.Inherit(Model{Base: math.NaN()}, 100)
 	l.Inherit(Model{PerToken: -1}, 100)
--- a/internal/dispatch/quorum.go
+++ b/internal/dispatch/quorum.go
@@ -15,8 +15,8 @@
 // Membership needs three seconds to detect that routers are gone; the age of received datagrams
 // shows it sooner.
 type quorum struct {
-	at   time.Time
-	held bool
+	at        time.Time
+	hasQuorum bool
 }
 
 const (
@@ -41,12 +41,12 @@
 
 func (q *quorum) holds(n *Node, now time.Time) bool {
 	if q.at.IsZero() || now.Sub(q.at) >= quorumCacheTTL {
-		*q = quorum{at: now, held: n.hearsMajority(now)}
+		*q = quorum{at: now, hasQuorum: n.receivesFromMajority(now)}
 	}
-	return q.held
+	return q.hasQuorum
 }
 
-func (n *Node) hearsMajority(now time.Time) bool {
+func (n *Node) receivesFromMajority(now time.Time) bool {
 	contacts := n.members.ReceivedSince(now.Add(-n.quorumWindow()))
 	contacts.Places[n.settings.Place] = true
 	for place := range n.upstreamPlaces {
--- a/internal/dispatch/rank.go
+++ b/internal/dispatch/rank.go
@@ -34,7 +34,7 @@
 	r = &ranking{changes: n.members.Changes, at: now}
 	var list []rankedRouter
 	for _, id := range n.members.Live(false) {
-		if until, silent := n.silent[id]; !silent || now.After(until) {
+		if until, silent := n.excluded[id]; !silent || now.After(until) {
 			list = append(list, rankedRouter{id, n.cpuClass(id), rendezvousHash(service, id)})
 		}
 	}
@@ -80,7 +80,7 @@
 	if r.changes != n.members.Changes {
 		return age < largeFleetRankingTTL && len(r.order) > meshMaxRouters
 	}
-	return len(n.silent) == 0 || age < rankingTTL
+	return len(n.excluded) == 0 || age < rankingTTL
 }
 
 // cpuClass is a router's CPU in steps of a quarter of a core, so that small differences do
--- a/internal/dispatch/recordedusage.go
+++ b/internal/dispatch/recordedusage.go
@@ -43,7 +43,7 @@
 	var out []wire.LocalUsage
 	for org, s := range b.sums {
 		known := b.known[to][org]
-		row := wire.LocalUsage{Service: service, Org: org, Requested: int64(s.wanted - known.wanted), Placed: int64(s.placed - known.placed)}
+		row := wire.LocalUsage{Service: service, Org: org, Requested: int64(s.requested - known.requested), Placed: int64(s.placed - known.placed)}
 		if row.Requested != 0 || row.Placed != 0 {
 			out = append(out, row)
 		}
--- a/internal/dispatch/regions_test.go
+++ b/internal/dispatch/regions_test.go
@@ -40,7 +40,7 @@
 		f.arriveInRegions(id, no+1, service, routing.Regions{"south"})
 		require.Equal(t, "q", f.placed(id, no+1).Instance.Place)
 		if no%4 == 0 {
-			f.nodes[id].Step(Again{ID: no + 1, Event: wire.ProgressFailed}, f.now)
+			f.nodes[id].Step(PlaceAgain{ID: no + 1, Event: wire.ProgressFailed}, f.now)
 			f.deliver()
 			require.Equal(t, "q", f.placed(id, no+1).Instance.Place, "nor does a retry leave")
 		}
@@ -52,7 +52,7 @@
 	id := f.order[0]
 	parts := []wire.PromptPart{{Part: 11, Tokens: 6000}}
 	f.arriveInRegions(id, 1, engines, routing.Regions{"north"}, parts...)
-	f.nodes[id].Step(First{ID: 1, After: 250 * time.Millisecond}, f.now)
+	f.nodes[id].Step(FirstEvent{ID: 1, After: 250 * time.Millisecond}, f.now)
 	f.run(time.Second)
 	f.arriveInRegions(id, 2, engines, routing.Regions{"south"}, parts...)
 	assert.Equal(t, "q", f.placed(id, 2).Instance.Place)
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -21,10 +21,10 @@
 // ShareReport is one organisation's use of its share at a service that this router
 // schedules, in tokens of the window in which shares are counted.
 type ShareReport struct {
-	Service, Org             string
-	Asked, Got, Begun, Share int
-	UnmetSeconds             int  // latest consecutive seconds in which it requested more than it was granted
-	Waits                    bool // others that have had much more are held back for it
+	Service, Org                       string
+	Requested, Granted, Started, Share int
+	UnmetSeconds                       int  // latest consecutive seconds in which it requested more than it was granted
+	Waits                              bool // others that have had much more are held back for it
 }
 
 // EngineReport is what this router expects of the engines in use of a service that it
@@ -153,7 +153,7 @@
 	p.meter.updateShares(now)
 	var orgs []version.ID
 	for id, u := range p.meter.orgs {
-		if windowTotal(&u.asked) > p.meter.shares[id] {
+		if windowTotal(&u.requested) > p.meter.shares[id] {
 			orgs = append(orgs, id)
 		}
 	}
@@ -165,7 +165,7 @@
 			continue
 		}
 		u := p.meter.orgs[id]
-		n.out = append(n.out, ShareReport{Service: p.service, Org: n.reports.orgNames[id], Asked: int(windowTotal(&u.asked)), Got: int(windowTotal(&u.got)), Begun: int(windowTotal(&u.started)),
+		n.out = append(n.out, ShareReport{Service: p.service, Org: n.reports.orgNames[id], Requested: int(windowTotal(&u.requested)), Granted: int(windowTotal(&u.granted)), Started: int(windowTotal(&u.started)),
 			Share: int(p.meter.shares[id]), UnmetSeconds: p.meter.unmetSeconds(u), Waits: p.meter.hasUnmetDemand(id, u)})
 	}
 }
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	require.Len(t, shares, 2)
-	assert.Equal(t, 2*statedWindowTokens+int(Cost(4000, 50)), shares[0].Asked)
+	assert.Equal(t, 2*statedWindowTokens+int(Cost(4000, 50)), shares[0].Requested)
 	assert.Positive(t, shares[0].Share)
 	require.NotEmpty(t, believed)
 	assert.Equal(t, 4, believed[0].Engines)
@@ -70,13 +70,13 @@
 	}
 	f.arrive(id, 1, engines, "a", 4000)
 	f.placed(id, 1)
-	n.Step(First{ID: 1, After: 50 * time.Millisecond}, f.now)
+	n.Step(FirstEvent{ID: 1, After: 50 * time.Millisecond}, f.now)
 	n.reports.due = f.now
 	n.Ready(f.now)
 	n.Tick(f.now)
 	for _, o := range n.Ready(f.now) {
 		if r, ok := o.(ShareReport); ok {
-			assert.Equal(t, int(Cost(4000, 50)), r.Begun)
+			assert.Equal(t, int(Cost(4000, 50)), r.Started)
 			assert.True(t, r.Waits)
 			assert.GreaterOrEqual(t, r.UnmetSeconds, minUnmetSeconds)
 			return
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -39,7 +39,7 @@
 	parts := []wire.PromptPart{{Part: 7, Tokens: 5000}, {Part: 8, Tokens: 1000}}
 	f.arrive(id, 1, engines, "a", 6000, parts...)
 	first := f.placed(id, 1)
-	f.nodes[id].Step(First{ID: 1, After: 50 * time.Millisecond}, f.now)
+	f.nodes[id].Step(FirstEvent{ID: 1, After: 50 * time.Millisecond}, f.now)
 	f.deliver()
 	n := f.nodes[id]
 	old := n.pools[serviceID(engines)].upstreams[version.IDOf(first.Instance.StartID())]
--- a/internal/dispatch/retrybudget_test.go
+++ b/internal/dispatch/retrybudget_test.go
@@ -40,10 +40,10 @@
 	f.nodes[id].settings.Retry = RetryRules{Ratio: 0, Window: 10 * time.Second, Slack: 0}
 	f.arrive(id, 1, engines, "a", 100)
 	first := f.placed(id, 1)
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressUnused}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressUnused}, f.now)
 	f.deliver()
 	assert.NotEqual(t, first.Instance.ID, f.placed(id, 1).Instance.ID)
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	r, refused := f.got[id][1].(Refuse)
 	require.True(t, refused)
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -34,7 +34,7 @@
 // orgUsage is the tokens of one organisation by step: requested, granted, refused because
 // of the wait while it was under its share, and started by an engine. started is used for
 // logging only.
-type orgUsage struct{ asked, got, refusedUnderShare, started [shareSteps]float64 }
+type orgUsage struct{ requested, granted, refusedUnderShare, started [shareSteps]float64 }
 
 func newMeter(tokensPerSecond float64) *meter {
 	m := &meter{
@@ -66,8 +66,8 @@
 // window.
 func (m *meter) clearStep(i int) {
 	for id, u := range m.orgs {
-		u.asked[i], u.got[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
-		if windowTotal(&u.asked) == 0 {
+		u.requested[i], u.granted[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
+		if windowTotal(&u.requested) == 0 {
 			delete(m.orgs, id)
 		}
 	}
@@ -91,14 +91,14 @@
 // addRequest counts requested tokens.
 func (m *meter) addRequest(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
-	m.usageOf(org).asked[i] += tokens
+	m.usageOf(org).requested[i] += tokens
 	m.recordedUsage.add(org, tokens, 0)
 }
 
 // addGrant counts placed tokens; a negative number takes them back.
 func (m *meter) addGrant(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
-	m.usageOf(org).got[i] += tokens
+	m.usageOf(org).granted[i] += tokens
 	m.recordedUsage.add(org, 0, tokens)
 }
 
@@ -140,7 +140,7 @@
 	if share <= 0 {
 		return 0
 	}
-	return windowTotal(&m.usageOf(org).got) / share
+	return windowTotal(&m.usageOf(org).granted) / share
 }
 
 // demand is what an organisation requested in the window, in tokens.
@@ -153,7 +153,7 @@
 func (m *meter) demands() []demand {
 	out := make([]demand, 0, len(m.orgs))
 	for id, u := range m.orgs {
-		out = append(out, demand{id, windowTotal(&u.asked)})
+		out = append(out, demand{id, windowTotal(&u.requested)})
 	}
 	sort.Slice(out, func(i, j int) bool {
 		if out[i].tokens != out[j].tokens {
--- a/internal/dispatch/sharecoverage.go
+++ b/internal/dispatch/sharecoverage.go
@@ -34,7 +34,7 @@
 		if p.engine == nil {
 			continue
 		}
-		for org := range p.here.orgs {
+		for org := range p.local.orgs {
 			if ratio := n.localCoverage(p, org, now); ratio < 1 {
 				out = append(out, ShareCoverage{Service: p.service, Org: n.reports.orgNames[org], Ratio: ratio})
 			}
@@ -45,8 +45,8 @@
 
 // localCoverage is the ratio of an organisation's requests that is admitted here.
 func (n *Node) localCoverage(p *pool, org version.ID, now time.Time) float64 {
-	here := p.here.at(org, now)
-	placed := coverageFactor * windowTotal(&here.got) / max(1, windowTotal(&here.asked))
+	here := p.local.at(org, now)
+	placed := coverageFactor * windowTotal(&here.granted) / max(1, windowTotal(&here.requested))
 	if n.schedulerOf(p.id, now) == n.settings.ID {
 		return max(placed, p.meter.coverageByShare(org, now))
 	}
@@ -66,8 +66,8 @@
 func (m *meter) coverageByShare(org version.ID, now time.Time) float64 {
 	m.updateShares(now)
 	u, share := m.usageOf(org), m.shares[org]
-	if share <= 0 || windowTotal(&u.got) < share {
+	if share <= 0 || windowTotal(&u.granted) < share {
 		return 1
 	}
-	return coverageFactor * share / max(1, windowTotal(&u.asked))
+	return coverageFactor * share / max(1, windowTotal(&u.requested))
 }
--- a/internal/dispatch/sharecoverage_test.go
+++ b/internal/dispatch/sharecoverage_test.go
@@ -17,7 +17,7 @@
 	p := n.pools[serviceID(engines)]
 	org := version.IDOf("flood")
 	n.reports.orgNames[org] = "flood"
-	p.here.addRequest(org, 100_000, f.now)
+	p.local.addRequest(org, 100_000, f.now)
 	assert.Empty(t, n.ShareCoverage(f.now), "no share update was received")
 	n.handleShareUpdates([]wire.ShareUpdate{{Service: p.id, Org: org, SharePercent: 120, Share: 10_000, Requested: 100_000}}, f.now)
 	assert.Equal(t, []ShareCoverage{{Service: engines, Org: "flood", Ratio: coverageFactor * 0.1}}, n.ShareCoverage(f.now))
@@ -27,7 +27,7 @@
 	s := f.nodes[f.scheduler()]
 	s.reports.orgNames[org] = "flood"
 	own := s.pools[p.id]
-	own.here.addRequest(org, 1, f.now)
+	own.local.addRequest(org, 1, f.now)
 	own.meter.addRequest(org, 4*statedWindowTokens, f.now)
 	own.meter.addGrant(org, 2*statedWindowTokens, f.now)
 	own.meter.updateShares(f.now.Add(shareStep))
@@ -43,9 +43,9 @@
 	p := n.pools[serviceID(engines)]
 	org := version.IDOf("flood")
 	n.shareUpdates.received[serviceOrg{p.id, org}] = receivedShareUpdate{wire.ShareUpdate{Service: p.id, Org: org, SharePercent: 400, Share: 10_000, Requested: 1_000_000}, f.now}
-	here := p.here.at(org, f.now)
-	here.asked, here.got = [shareSteps]float64{1_000_000}, [shareSteps]float64{40_000}
+	here := p.local.at(org, f.now)
+	here.requested, here.granted = [shareSteps]float64{1_000_000}, [shareSteps]float64{40_000}
 	assert.InDelta(t, coverageFactor*0.04, n.localCoverage(p, org, f.now), 1e-9)
-	here.got = [shareSteps]float64{}
+	here.granted = [shareSteps]float64{}
 	assert.InDelta(t, coverageFactor*0.01, n.localCoverage(p, org, f.now), 1e-9)
 }
--- a/internal/dispatch/shareupdate.go
+++ b/internal/dispatch/shareupdate.go
@@ -78,7 +78,7 @@
 		Org:          org,
 		SharePercent: overPercent(over),
 		Share:        uint32(p.meter.shares[org]),
-		Requested:    uint32(windowTotal(&p.meter.usageOf(org).asked)),
+		Requested:    uint32(windowTotal(&p.meter.usageOf(org).requested)),
 	})
 }
 
@@ -113,7 +113,7 @@
 func (n *Node) localOver(p *pool, org version.ID, now time.Time) float64 {
 	over := 0.0
 	if allowed := n.localAllowance(p, org, now); allowed > 0 {
-		over = windowTotal(&p.here.at(org, now).got) / allowed
+		over = windowTotal(&p.local.at(org, now).granted) / allowed
 	}
 	if w := n.shareUpdates.received[serviceOrg{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < overTTL {
 		over = max(over, float64(w.SharePercent)/100)
@@ -128,9 +128,9 @@
 func (n *Node) localAllowance(p *pool, org version.ID, now time.Time) float64 {
 	w := n.shareUpdates.received[serviceOrg{p.id, org}]
 	if w.at.IsZero() {
-		return p.here.capacity / float64(max(1, len(n.reports.orgNames)))
+		return p.local.capacity / float64(max(1, len(n.reports.orgNames)))
 	}
-	asked := windowTotal(&p.here.at(org, now).asked)
+	asked := windowTotal(&p.local.at(org, now).requested)
 	fraction := asked / max(1, float64(w.Requested))
 	return float64(w.Share) * min(1, max(fraction, minLocalShareRatio))
 }
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -254,12 +254,12 @@
 		n.out = append(n.out, ApplyDelta{From: from, Delta: d})
 		return
 	}
-	n.noteNewerContent(from, newerContent{revision: d.To}, now)
+	n.recordNewerContent(from, newerContent{revision: d.To}, now)
 }
 
-// noteNewerContent records whether a peer has a later change of the store's content, or a
+// recordNewerContent records whether a peer has a later change of the store's content, or a
 // newer table, than this router.
-func (n *Node) noteNewerContent(from wire.NodeID, theirs newerContent, now time.Time) {
+func (n *Node) recordNewerContent(from wire.NodeID, theirs newerContent, now time.Time) {
 	if theirs.revision == 0 || n.hasContent(theirs) {
 		delete(n.newerContent, from)
 		return
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		out.Services = append(out.Services, p.snapshot(now))
-		p.meter.recordedUsage.toldAll(asker)
+		p.meter.recordedUsage.markAllKnown(asker)
 	}
 	slices.SortFunc(out.Services, func(a, b wire.ServiceSnapshot) int { return cmp.Compare(a.Service, b.Service) })
 	return out
@@ -126,8 +126,8 @@
 		w := wire.OrgWindow{Org: org}
 		for age := range int64(shareSteps) {
 			i := m.ring.slot(age)
-			w.Requested = append(w.Requested, float32(u.asked[i]))
-			w.Received = append(w.Received, float32(u.got[i]))
+			w.Requested = append(w.Requested, float32(u.requested[i]))
+			w.Received = append(w.Received, float32(u.granted[i]))
 		}
 		out = append(out, w)
 	}
@@ -144,10 +144,10 @@
 		for age := range int64(shareSteps) {
 			i := m.ring.slot(age)
 			if age < int64(len(r.Requested)) {
-				u.asked[i] = max(u.asked[i], finite(r.Requested[age]))
+				u.requested[i] = max(u.requested[i], finite(r.Requested[age]))
 			}
 			if age < int64(len(r.Received)) {
-				u.got[i] = max(u.got[i], finite(r.Received[age]))
+				u.granted[i] = max(u.granted[i], finite(r.Received[age]))
 			}
 		}
 	}
@@ -186,8 +186,8 @@
 	return out
 }
 
-// toldAll records that a router knows all usage recorded so far.
-func (b *recordedUsage) toldAll(to wire.NodeID) {
+// markAllKnown records that a router knows all usage recorded so far.
+func (b *recordedUsage) markAllKnown(to wire.NodeID) {
 	b.known[to] = map[version.ID]usageSum{}
 	for org, s := range b.sums {
 		b.known[to][org] = s
--- a/internal/dispatch/upstream.go
+++ b/internal/dispatch/upstream.go
@@ -34,7 +34,7 @@
 	queue           prefill.Queue
 	outputTokens    int // that its runs will generate
 	cache           *cache
-	kept            int       // cached tokens of the prompt that is being placed
+	cached          int       // cached tokens of the prompt that is being placed
 	ready           int       // of these, already prefilled
 	cacheReportedAt time.Time // when the engine last reported its cache
 	slowFactor      float64   // a plain upstream's times relative to the pool's, 1 is normal
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -60,9 +60,9 @@
 
 // The kinds of events.
 const (
-	First EventKind = iota // the first event of the request's stream
-	More                   // a further event of the stream
-	Done                   // the request ended, with the last event of its stream
+	FirstEvent EventKind = iota // the first event of the request's stream
+	More                        // a further event of the stream
+	Done                        // the request ended, with the last event of its stream
 )
 
 // Engine is a simulated engine. It must be used by one goroutine at a time.
@@ -263,7 +263,7 @@
 		x.decoded++
 		switch {
 		case x.decoded == 1: // the first token is an event of its own
-			out = append(out, Event{x.req.ID, e.now, First})
+			out = append(out, Event{x.req.ID, e.now, FirstEvent})
 		case (x.decoded-1)%e.cfg.EventTokens == 0 && x.decoded < x.req.Output:
 			out = append(out, Event{x.req.ID, e.now, More})
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -28,14 +28,14 @@
 	e := New(DefaultConfig, start)
 	parts := []Part{{1, 4000}, {2, 4000}}
 	assert.True(t, e.Add(Request{ID: 1, Parts: parts, Output: 30}, start))
-	cold := waitFor(t, e, 1, First)
+	cold := waitFor(t, e, 1, FirstEvent)
 	// 8 chunks of 1,024 tokens at 38.7 tokens a millisecond, each with the duration of a step.
 	assert.InDelta(t, 270, cold.Milliseconds(), 25)
 	again := New(DefaultConfig, start)
 	again.addToCache(parts[0])
 	again.addToCache(parts[1])
 	again.Add(Request{ID: 1, Parts: parts, Output: 30}, start)
-	assert.Less(t, waitFor(t, again, 1, First), 30*time.Millisecond)
+	assert.Less(t, waitFor(t, again, 1, FirstEvent), 30*time.Millisecond)
 	assert.Equal(t, 8000, e.Read)
 	assert.Equal(t, 1, again.Read)
 }
@@ -45,7 +45,7 @@
 	parts := []Part{{1, 3780}, {2, 500}}
 	from.addToCache(parts[0])
 	to.Add(Request{ID: 1, Parts: parts, Output: 30, Source: from}, start)
-	assert.Less(t, waitFor(t, to, 1, First), 60*time.Millisecond)
+	assert.Less(t, waitFor(t, to, 1, FirstEvent), 60*time.Millisecond)
 	assert.Equal(t, 3780, to.Fetched)
 	assert.Equal(t, 500, to.Read)
 }
@@ -54,7 +54,7 @@
 	e := New(DefaultConfig, start)
 	e.Add(Request{ID: 1, Parts: []Part{{1, 20_000}}, Output: 3}, start)
 	e.Add(Request{ID: 2, Parts: []Part{{2, 100}}, Output: 3}, start)
-	assert.Greater(t, waitFor(t, e, 2, First), 500*time.Millisecond, "behind the large prompt")
+	assert.Greater(t, waitFor(t, e, 2, FirstEvent), 500*time.Millisecond, "behind the large prompt")
 }
 
 func TestSlotAndMemoryLimitsHold(t *testing.T) {
@@ -101,7 +101,7 @@
 	e.Add(Request{ID: 1, Parts: []Part{{1, 20_000}}, Output: 3}, start)
 	e.Add(Request{ID: 2, Parts: []Part{{2, 100}}, Output: 30}, start)
 	e.Cancel(1)
-	assert.Less(t, waitFor(t, e, 2, First), 60*time.Millisecond)
+	assert.Less(t, waitFor(t, e, 2, FirstEvent), 60*time.Millisecond)
 	e.Cancel(99)
 	w, r := e.Load()
 	assert.Zero(t, w+r-1, "the second request still runs")
@@ -114,5 +114,5 @@
 	for _, ev := range e.Advance(start.Add(time.Second)) {
 		kinds = append(kinds, ev.Kind)
 	}
-	assert.Equal(t, []EventKind{First, More, More, Done}, kinds, "an event every three tokens, and the last one")
+	assert.Equal(t, []EventKind{FirstEvent, More, More, Done}, kinds, "an event every three tokens, and the last one")
 }
--- a/internal/lab/job.go
+++ b/internal/lab/job.go
@@ -12,21 +12,21 @@
 
 // Job is a request and its outcome.
 type Job struct {
-	Org       *version.Organisation
-	App       string
-	Host      *Host
-	ID        uint64
-	Key       *claim.Key
-	Tokens    int
-	Arrived   time.Time
-	StartedAt time.Time
-	Upstream  *version.Upstream
-	Starts    int
-	Running   bool
-	Ended     bool
-	Refused   entry.Reason
-	Doubt     bool // refused, but it is unknown whether the key has run
-	done      func(*Job)
+	Org        *version.Organisation
+	App        string
+	Host       *Host
+	ID         uint64
+	Key        *claim.Key
+	Tokens     int
+	Arrived    time.Time
+	StartedAt  time.Time
+	Upstream   *version.Upstream
+	Starts     int
+	Running    bool
+	Ended      bool
+	Refused    entry.Reason
+	MayHaveRun bool // refused, but it is unknown whether the key has run
+	done       func(*Job)
 }
 
 // start sends a job to an upstream, where it runs or waits for a slot, and counts starts
@@ -40,7 +40,7 @@
 		w.ForbiddenStarts++
 	}
 	if !j.Org.Allows(u.Place) || !j.Org.Allows(j.Host.Place) {
-		w.Strays++
+		w.MisplacedStarts++
 	}
 	if w.Running[up] >= u.Slots {
 		w.queued[up] = append(w.queued[up], j)
--- a/internal/lab/safety_test.go
+++ b/internal/lab/safety_test.go
@@ -52,7 +52,7 @@
 	assert.Equal(t, 1, first.Starts)
 	assert.Zero(t, second.Starts)
 	assert.Equal(t, entry.ReasonKeyTaken, second.Refused)
-	assert.True(t, second.Doubt, "the first request ran, so the second must not be reported as not-run")
+	assert.True(t, second.MayHaveRun, "the first request ran, so the second must not be reported as not-run")
 }
 
 func TestKeyRunsOnceAfterItsRouterRestartsEmpty(t *testing.T) {
@@ -69,7 +69,7 @@
 	second := order(w, 0, k)
 	w.Run(5 * time.Second)
 	assert.Zero(t, second.Starts)
-	assert.True(t, second.Doubt)
+	assert.True(t, second.MayHaveRun)
 }
 
 func TestKeyRunsOnceWhenMostWitnessesRestart(t *testing.T) {
@@ -87,7 +87,7 @@
 	second := order(w, 3, k)
 	w.Run(5 * time.Second)
 	assert.Zero(t, second.Starts)
-	assert.True(t, second.Doubt, "no witness remembers the key, so the outcome is unknown")
+	assert.True(t, second.MayHaveRun, "no witness remembers the key, so the outcome is unknown")
 }
 
 func TestOnlyOneSideOfPartitionRunsKey(t *testing.T) {
@@ -121,7 +121,7 @@
 	w.Run(10 * time.Second)
 	assert.LessOrEqual(t, first.Starts+second.Starts, 1)
 	if second.Starts == 0 {
-		assert.True(t, second.Doubt || first.Starts == 0)
+		assert.True(t, second.MayHaveRun || first.Starts == 0)
 	}
 }
 
@@ -177,7 +177,7 @@
 		if j.Refused != "" {
 			require.Zero(t, j.Starts, "refused, but it had started")
 		}
-		if j.Refused != "" && !j.Doubt {
+		if j.Refused != "" && !j.MayHaveRun {
 			require.Zero(t, startsBefore(jobs, j), "reported as not-run, but the key had run")
 		}
 	}
@@ -217,7 +217,7 @@
 		w.setOrganisation(o)
 	}
 	w.Run(60 * time.Second)
-	assert.Zero(t, w.Strays)
+	assert.Zero(t, w.MisplacedStarts)
 	assert.Positive(t, w.AnsweredRequests[w.Version.ByName("y").ID])
 }
 
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -63,7 +63,7 @@
 	Routers       int           // 0 for Routers
 	Overloaded    bool          // two organisations flood, one of them through an overloaded router
 	LoadShedding  bool          // two organisations flood, one of them through a load shedding router
-	Without       dispatch.Without
+	Disabled      dispatch.Disabled
 	Engine        engine.Config // of all engines; the zero value stands for engine.DefaultConfig
 }
 
@@ -77,7 +77,7 @@
 	ReadAgain                      int     // tokens of shared parts read although some engine had read them recently
 	Fetched                        int     // tokens fetched from other engines
 	Control                        float64 // control bytes/s sent by a router
-	Predicted, Seen                [3]float64
+	Predicted, Observed            [3]float64
 	Ratio                          [3]float64 // seen time over predicted time of each request, once the model has learned
 	Fair                           float64    // see fair.go: the run was fair if at least 1
 }
@@ -116,7 +116,7 @@
 	lastUsed    map[uint64]time.Time
 	res         Result
 	predictedMS []float64
-	seenMS      []float64
+	observedMS  []float64
 	ratios      []float64
 }
 
@@ -204,7 +204,7 @@
 	}
 	for i := range w.routers() {
 		id := wire.NodeID(fmt.Sprintf("10.1.0.%d:1", i))
-		n := dispatch.New(dispatch.Settings{ID: id, Inc: 1, Place: placeName(i), Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: dispatch.DefaultRetryRules, Seed: uint64(i), Without: w.Without}, startTime)
+		n := dispatch.New(dispatch.Settings{ID: id, Inc: 1, Place: placeName(i), Seeds: []wire.NodeID{"10.1.0.0:1"}, Retry: dispatch.DefaultRetryRules, Seed: uint64(i), Disabled: w.Disabled}, startTime)
 		n.Step(dispatch.Catalogue{Table: table, Instances: list, Revision: 5, AsOf: 9}, startTime)
 		w.nodes[id] = n
 		w.order = append(w.order, id)
@@ -304,9 +304,9 @@
 			if ev.Kind == engine.More {
 				continue
 			}
-			if ev.Kind == engine.First {
+			if ev.Kind == engine.FirstEvent {
 				w.recordFirstEvent(c, ev.At)
-				w.deliverInput(c.router, dispatch.First{ID: ev.ID, After: ev.At.Sub(c.placedAt)})
+				w.deliverInput(c.router, dispatch.FirstEvent{ID: ev.ID, After: ev.At.Sub(c.placedAt)})
 				continue
 			}
 			delete(w.calls, ev.ID)
--- a/internal/process/forwardcontrol.go
+++ b/internal/process/forwardcontrol.go
@@ -37,12 +37,12 @@
 }
 
 // Looked implements forward.Control.
-func (rc *RoutedController) Looked(i routing.Instance, coldFor time.Duration) {
-	rc.Step(dispatch.Looked{Instance: i, ColdFor: coldFor})
+func (rc *RoutedController) HealthCheckFailed(i routing.Instance, coldFor time.Duration) {
+	rc.Step(dispatch.HealthCheckFailed{Instance: i, ColdFor: coldFor})
 }
 
-// UpstreamLeaves implements forward.Control.
-func (rc *RoutedController) UpstreamLeaves(start string) {
+// UpstreamLeaving implements forward.Control.
+func (rc *RoutedController) UpstreamLeaving(start string) {
 	up := rc.availability.status(start, rc.now())
 	if !up.listed {
 		return // already known to be leaving or gone
@@ -87,13 +87,13 @@
 }
 
 // Again implements forward.Control.
-func (rc *RoutedController) Again(t *forward.Ticket, note uint8) {
-	rc.enqueue(func(now time.Time) { rc.node.Step(dispatch.Again{ID: t.ID, Event: note}, now) })
+func (rc *RoutedController) PlaceAgain(t *forward.Ticket, note uint8) {
+	rc.enqueue(func(now time.Time) { rc.node.Step(dispatch.PlaceAgain{ID: t.ID, Event: note}, now) })
 }
 
 // First implements forward.Control.
-func (rc *RoutedController) First(t *forward.Ticket, after time.Duration) {
-	rc.enqueue(func(now time.Time) { rc.node.Step(dispatch.First{ID: t.ID, After: after}, now) })
+func (rc *RoutedController) FirstEvent(t *forward.Ticket, after time.Duration) {
+	rc.enqueue(func(now time.Time) { rc.node.Step(dispatch.FirstEvent{ID: t.ID, After: after}, now) })
 }
 
 // End implements forward.Control.
--- a/internal/process/quarantine.go
+++ b/internal/process/quarantine.go
@@ -41,7 +41,7 @@
 }
 
 // Broke implements forward.Control.
-func (rc *RoutedController) Broke(b dispatch.Broke) { rc.Step(b) }
+func (rc *RoutedController) AttemptIncomplete(b dispatch.AttemptIncomplete) { rc.Step(b) }
 
 // ConnRefused implements forward.Control.
 func (rc *RoutedController) ConnRefused(i routing.Instance) {
@@ -67,7 +67,7 @@
 }
 
 // Broke implements request.Control.
-func (ac *AppController) Broke(b core.Broke) { ac.Step(b) }
+func (ac *AppController) AttemptIncomplete(b core.AttemptIncomplete) { ac.Step(b) }
 
 // ConnRefused implements request.Control.
 func (ac *AppController) ConnRefused(up version.ID) { ac.Step(core.ConnRefused{Upstream: up}) }
--- a/internal/process/reportlog.go
+++ b/internal/process/reportlog.go
@@ -10,7 +10,7 @@
 func logReport(log zerolog.Logger, o dispatch.Output) {
 	switch o := o.(type) {
 	case dispatch.ShareReport:
-		log.Info().Str("service", o.Service).Str("organisation", o.Org).Int("asked", o.Asked).Int("got", o.Got).Int("begun", o.Begun).Int("share", o.Share).
+		log.Info().Str("service", o.Service).Str("organisation", o.Org).Int("asked", o.Requested).Int("got", o.Granted).Int("begun", o.Started).Int("share", o.Share).
 			Int("asking_seconds", o.UnmetSeconds).Bool("waits", o.Waits).Msg("organisation-share")
 	case dispatch.EngineReport:
 		log.Info().Str("service", o.Service).Int("engines", o.Engines).Int("busy_percent", o.BusyPercent).
--- a/internal/request/control.go
+++ b/internal/request/control.go
@@ -42,7 +42,7 @@
 	// have crashed. The map must not be modified.
 	Quarantined(org version.ID) map[fingerprint.Fingerprint]quarantine.State
 	// Broke reports an attempt that may have run and ended without a whole answer.
-	Broke(core.Broke)
+	AttemptIncomplete(core.AttemptIncomplete)
 	// ConnRefused reports that an upstream's address refuses connections.
 	ConnRefused(version.ID)
 	// AnsweredWhole reports that a request listed by Quarantined got a whole answer.
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -195,7 +195,7 @@
 	a.mayHaveRun = true
 	a.timeToFirst = time.Since(a.began)
 	a.s.count.firstEvent.Update(a.timeToFirst)
-	a.s.ctl.First(a.ticket, a.timeToFirst)
+	a.s.ctl.FirstEvent(a.ticket, a.timeToFirst)
 }
 
 // stream forwards events as they arrive, each once and in order.
--- a/internal/request/forward/control.go
+++ b/internal/request/forward/control.go
@@ -19,9 +19,9 @@
 	Submit(r dispatch.Request) *Ticket
 	// Again requests another placement. note says how the last one ended (wire.ProgressFailed
 	// and so on). The decision is delivered on the ticket.
-	Again(t *Ticket, note uint8)
+	PlaceAgain(t *Ticket, note uint8)
 	// First reports that the answer has begun, and how long after the request was sent.
-	First(t *Ticket, after time.Duration)
+	FirstEvent(t *Ticket, after time.Duration)
 	// End releases the ticket; note says how its last placement ended. It does nothing
 	// after a refusal.
 	End(t *Ticket, note uint8)
@@ -41,17 +41,17 @@
 	// have crashed. The map must not be modified.
 	Quarantined(org string) map[fingerprint.Fingerprint]quarantine.State
 	// Broke reports an attempt that may have run and ended without a whole answer.
-	Broke(dispatch.Broke)
+	AttemptIncomplete(dispatch.AttemptIncomplete)
 	// ConnRefused reports that an instance's address refuses connections.
 	ConnRefused(routing.Instance)
 	// AnsweredWhole reports that a request listed by Quarantined got a whole answer.
 	AnsweredWhole(fingerprint.Fingerprint)
 	// Looked reports a failed health check: the upstream is cold for coldFor, or could not
 	// be reached when coldFor is 0.
-	Looked(i routing.Instance, coldFor time.Duration)
-	// UpstreamLeaves reports that an upstream has announced that it is leaving. start
+	HealthCheckFailed(i routing.Instance, coldFor time.Duration)
+	// UpstreamLeaving reports that an upstream has announced that it is leaving. start
 	// identifies the upstream's process (routing.Instance.StartID).
-	UpstreamLeaves(start string)
+	UpstreamLeaving(start string)
 	// UpstreamBacksOff reports that an upstream has asked this router to send it nothing
 	// for the duration d.
 	UpstreamBacksOff(start string, d time.Duration)
--- a/internal/request/forward/counters.go
+++ b/internal/request/forward/counters.go
@@ -71,7 +71,7 @@
 
 // addPlacementFields adds the inputs of a placement decision.
 func addPlacementFields(e *zerolog.Event, p *dispatch.Placement) {
-	e.Str("by", string(p.By)).Int("wait_ms", p.WaitMS).Int("own_ms", p.PrefillMS).Int("work", p.ReadTokens).Uint64("revision", p.Revision)
+	e.Str("by", string(p.By)).Int("wait_ms", p.WaitMS).Int("own_ms", p.PrefillMS).Int("work", p.PrefillTokens).Uint64("revision", p.Revision)
 	if p.Source != "" {
 		e.Str("source", p.Source)
 	}
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -56,11 +56,11 @@
 	leftInstances map[string]bool // instances that have left
 
 	quarantinedRequests map[fingerprint.Fingerprint]quarantine.State
-	broke               []dispatch.Broke
+	incompleteAttempts  []dispatch.AttemptIncomplete
 	refusedConnections  []string // instances that refused connections
 	answeredWhole       []fingerprint.Fingerprint
-	onAgain             func() // called before another placement is made; may be nil
-	looked              []failedHealthCheck
+	onPlaceAgain        func() // called before another placement is made; may be nil
+	failedHealthChecks  []failedHealthCheck
 	backoffs            []reportedBackoff
 	leavingStarts       []string // starts of upstreams that announced that they are leaving
 	healthCheckFirst    bool     // placements require a health check
@@ -86,13 +86,13 @@
 	return MaySend
 }
 
-func (c *fakeControl) Looked(i routing.Instance, coldFor time.Duration) {
+func (c *fakeControl) HealthCheckFailed(i routing.Instance, coldFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = append(c.looked, failedHealthCheck{i.ID, coldFor})
+	c.failedHealthChecks = append(c.failedHealthChecks, failedHealthCheck{i.ID, coldFor})
 }
 
-func (c *fakeControl) UpstreamLeaves(start string) {
+func (c *fakeControl) UpstreamLeaving(start string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leavingStarts = append(c.leavingStarts, start)
@@ -110,10 +110,10 @@
 	return c.quarantinedRequests
 }
 
-func (c *fakeControl) Broke(b dispatch.Broke) {
+func (c *fakeControl) AttemptIncomplete(b dispatch.AttemptIncomplete) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broke = append(c.broke, b)
+	c.incompleteAttempts = append(c.incompleteAttempts, b)
 }
 
 func (c *fakeControl) ConnRefused(i routing.Instance) {
@@ -152,17 +152,17 @@
 	t.Decide(Decision{Placement: &dispatch.Placement{ID: t.ID, Instance: i, CheckHealth: c.healthCheckFirst}})
 }
 
-func (c *fakeControl) Again(t *Ticket, note uint8) {
+func (c *fakeControl) PlaceAgain(t *Ticket, note uint8) {
 	c.note(note)
-	if c.onAgain != nil {
-		c.onAgain()
+	if c.onPlaceAgain != nil {
+		c.onPlaceAgain()
 	}
 	if !c.neverPlaceAgain {
 		c.decide(t)
 	}
 }
 
-func (c *fakeControl) First(*Ticket, time.Duration) {}
+func (c *fakeControl) FirstEvent(*Ticket, time.Duration) {}
 
 func (c *fakeControl) End(_ *Ticket, note uint8) { c.note(note) }
 
--- a/internal/request/forward/healthcheck.go
+++ b/internal/request/forward/healthcheck.go
@@ -129,6 +129,6 @@
 	if result.reached && result.coldFor == 0 {
 		return false
 	}
-	r.s.ctl.Looked(p.Instance, result.coldFor)
+	r.s.ctl.HealthCheckFailed(p.Instance, result.coldFor)
 	return true
 }
--- a/internal/request/forward/notice.go
+++ b/internal/request/forward/notice.go
@@ -54,7 +54,7 @@
 	n := s.dialect.readNotice(res)
 	if n.leaving {
 		s.count.leavingNotices.Inc(1)
-		s.ctl.UpstreamLeaves(start)
+		s.ctl.UpstreamLeaving(start)
 	}
 	if n.backoff > 0 {
 		s.count.backoffNotices.Inc(1)
--- a/internal/request/forward/quarantine.go
+++ b/internal/request/forward/quarantine.go
@@ -52,7 +52,7 @@
 // reportBrokenAttempt reports to the control state that the upstream may have run the
 // request and gave no whole answer. early is true if the answer had not begun.
 func (r *run) reportBrokenAttempt(p *dispatch.Placement, early bool, err error) {
-	r.s.ctl.Broke(dispatch.Broke{
+	r.s.ctl.AttemptIncomplete(dispatch.AttemptIncomplete{
 		Content:  r.fingerprint(),
 		Org:      r.org,
 		Instance: p.Instance,
--- a/internal/request/forward/quarantine_test.go
+++ b/internal/request/forward/quarantine_test.go
@@ -61,7 +61,7 @@
 	first, _ := scriptedUpstream(t, "\x00")
 	second, got := scriptedUpstream(t, okHelloAnswer)
 	r := newHarness(t, first, second)
-	r.control.onAgain = func() {
+	r.control.onPlaceAgain = func() {
 		r.control.setQuarantined(fingerprintOf(t, "GET", "/safe/x", ""), 3, time.Now().Add(time.Minute))
 	}
 	res, _, err := r.do(t, "GET", "/safe/x", "")
@@ -73,7 +73,7 @@
 	first, _ = scriptedUpstream(t, eventStreamHeader+eventChunk(1)+"\x00")
 	second, got = scriptedUpstream(t, eventStreamHeader+eventChunk(2)+lastChunk)
 	r = newHarness(t, first, second)
-	r.control.onAgain = func() {
+	r.control.onPlaceAgain = func() {
 		r.control.setQuarantined(fingerprintOf(t, "POST", "/stream/x", "body"), 3, time.Now().Add(time.Minute))
 	}
 	_, body, err := r.do(t, "POST", "/stream/x", "body")
@@ -105,7 +105,7 @@
 			r.control.mu.Lock()
 			defer r.control.mu.Unlock()
 			var lost []bool
-			for _, b := range r.control.broke {
+			for _, b := range r.control.incompleteAttempts {
 				lost = append(lost, b.Lost)
 				assert.Equal(t, fingerprintOf(t, "POST", c.path, "body"), b.Content)
 				assert.Equal(t, "alpha", b.Org)
@@ -127,5 +127,5 @@
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
 	assert.Equal(t, []string{"i-0"}, r.control.refusedConnections)
-	assert.Empty(t, r.control.broke)
+	assert.Empty(t, r.control.incompleteAttempts)
 }
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -234,7 +234,7 @@
 	r.withdrawn++
 	r.s.count.withdrawn.Inc(1)
 	r.logAttempt(p, string(why), nil)
-	r.s.ctl.Again(r.ticket, wire.ProgressUnused)
+	r.s.ctl.PlaceAgain(r.ticket, wire.ProgressUnused)
 }
 
 // failAfterAttempt ends a request that is not tried again after a failed attempt.
@@ -252,7 +252,7 @@
 // retry requests another placement after a failed attempt.
 func (r *run) retry(note uint8) step {
 	r.s.count.repeated.Inc(1)
-	r.s.ctl.Again(r.ticket, note)
+	r.s.ctl.PlaceAgain(r.ticket, note)
 	return stepRetry
 }
 
--- a/internal/request/forward/suspend_test.go
+++ b/internal/request/forward/suspend_test.go
@@ -33,7 +33,7 @@
 			second, got := scriptedUpstream(t, okHelloAnswer)
 			r := newHarness(t, first, second)
 			r.server.clock = stepped
-			r.control.onAgain = func() {
+			r.control.onPlaceAgain = func() {
 				total.Add(int64(c.suspended))
 				stepped.Refresh()
 			}
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -52,7 +52,7 @@
 // reportBrokenAttempt reports to the control state that the upstream may have run the
 // request and gave no whole answer. early is true if the answer had not begun.
 func (r *run) reportBrokenAttempt(u *version.Upstream, early bool) {
-	r.s.ctl.Broke(core.Broke{Content: r.contentFingerprint(), Org: r.v.org.ID, Upstream: u.ID, Began: r.sentAt, Early: early})
+	r.s.ctl.AttemptIncomplete(core.AttemptIncomplete{Content: r.contentFingerprint(), Org: r.v.org.ID, Upstream: u.ID, Began: r.sentAt, Early: early})
 }
 
 // reportRefusedConnection reports to the control state if the connection was refused: the
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -77,7 +77,7 @@
 	}
 	if d.Upstream == nil {
 		span.SetAttributes(attribute.String("refused", string(d.Refusal.Reason)))
-		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.Doubt))
+		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.MayHaveRun))
 		return d, false
 	}
 	_, grant := r.s.tracer.Start(r.ctx, "grant", trace.WithTimestamp(d.At), trace.WithAttributes(attribute.String("upstream", d.Upstream.Name)))
