--- a/internal/core/member/gossip.go
+++ b/internal/core/member/gossip.go
@@ -38,7 +38,7 @@
 	if d.Ping != nil {
 		d.Join = t.joinRequest(to)
 	}
-	if since, asked := t.join.take(to); asked {
+	if since, requested := t.join.take(to); requested {
 		d.Updates, d.JoinClock = t.changedSince(since, to)
 		return
 	}
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -54,10 +54,10 @@
 
 // take returns the clock from which on to send changes to a router, and whether it has
 // requested them.
-func (j *join) take(to wire.NodeID) (since uint32, asked bool) {
-	since, asked = j.since[to]
+func (j *join) take(to wire.NodeID) (since uint32, requested bool) {
+	since, requested = j.since[to]
 	delete(j.since, to)
-	return since, asked
+	return since, requested
 }
 
 // answered records a seed's reply.
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -116,13 +116,13 @@
 }
 
 // New returns a node that knows no other routers but its seeds.
-func New(set Settings, now time.Time) *Node {
-	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
-	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Public: set.Public}
+func New(settings Settings, now time.Time) *Node {
+	rnd := rand.New(rand.NewPCG(settings.Seed, uint64(settings.Inc)))
+	self := wire.Update{ID: settings.ID, Inc: settings.Inc, Place: settings.Place, Public: settings.Public}
 	n := &Node{
-		settings:   set,
-		members:    member.New(self, set.Seeds, now, rnd),
-		entry:      entry.New(set.Place, now),
+		settings:   settings,
+		members:    member.New(self, settings.Seeds, now, rnd),
+		entry:      entry.New(settings.Place, now),
 		led:        ledger.New(),
 		witness:    claim.NewWitness(now),
 		pools:      map[version.ID]*hostedPool{},
@@ -130,7 +130,7 @@
 		proposals:  map[uint64]*pendingProposal{},
 		heldClaims: map[uint64]*claim.Proposal{},
 		drains:     map[version.ID]*drain{},
-		crashes:    quarantine.NewTracker(set.ID),
+		crashes:    quarantine.NewTracker(settings.ID),
 		rejected:   map[version.Number]bool{},
 		started:    now,
 		lastTick:   now,
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func (n *Node) refuseClaim(a *pendingProposal, doubt bool) {
+func (n *Node) refuseClaim(a *pendingProposal, mayHaveRun bool) {
 	delete(n.proposals, a.req.ID)
 	n.sendRelease(a.proposal)
 	verdict, _ := a.proposal.Refusal()
-	n.out = append(n.out, Refuse{ID: a.req.ID, Reason: claimReason(verdict), RetryAfter: claimRetryAfter, MayHaveRun: doubt})
+	n.out = append(n.out, Refuse{ID: a.req.ID, Reason: claimReason(verdict), RetryAfter: claimRetryAfter, MayHaveRun: mayHaveRun})
 }
 
 func claimReason(v wire.Verdict) entry.Reason {
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -165,14 +165,14 @@
 // left of the request's own target, or the strictest target of the service if that is
 // shorter.
 func (p *pool) requestTargetMS(a *wire.PlacementRequest) float64 {
-	aim := float64(a.TargetMS)
+	targetMS := float64(a.TargetMS)
 	if a.TargetMS == 0 {
-		aim = float64(a.DeadlineMS) / 4
+		targetMS = float64(a.DeadlineMS) / 4
 	}
 	if p.targetMS > 0 {
-		aim = min(aim, p.targetMS)
+		targetMS = min(targetMS, p.targetMS)
 	}
-	return aim
+	return targetMS
 }
 
 // waitLimit is how long a request may wait behind others at an engine, in milliseconds.
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -121,7 +121,7 @@
 	}
 	limits := map[int]float64{}
 	for _, got := range []int{300, 800, 1600, 3200} {
-		p.meter.usageOf(1).granted = [shareSteps]float64{}
+		p.meter.usageOf(1).got = [shareSteps]float64{}
 		p.meter.addGrant(1, float64(got), start)
 		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.over(1, start))
 	}
--- a/internal/dispatch/leastserved.go
+++ b/internal/dispatch/leastserved.go
@@ -37,14 +37,14 @@
 // times as much within six seconds.
 func (m *meter) mustYield(org version.ID, now time.Time) bool {
 	m.updateShares(now)
-	return windowTotal(&m.usageOf(org).granted) > maxLeadRatio*m.leastServed
+	return windowTotal(&m.usageOf(org).got) > maxLeadRatio*m.leastServed
 }
 
 // hasUnmetDemand reports whether an organisation has requested more than its share and more
 // than it was granted, and continues to do so.
 func (m *meter) hasUnmetDemand(org version.ID, u *orgUsage) bool {
-	asked := windowTotal(&u.requested)
-	return asked > m.shares[org] && asked > unmetDemandRatio*windowTotal(&u.granted) && m.unmetLongEnough(u)
+	requested := windowTotal(&u.requested)
+	return requested > m.shares[org] && requested > unmetDemandRatio*windowTotal(&u.got) && m.unmetLongEnough(u)
 }
 
 // unmetLongEnough reports whether an organisation has had unmet demand for long enough that
@@ -55,13 +55,13 @@
 // more than it was granted.
 func (m *meter) unmetSeconds(u *orgUsage) int {
 	for second := range shareSteps / stepsPerSecond {
-		asked, got := 0.0, 0.0
+		requested, got := 0.0, 0.0
 		for back := range stepsPerSecond {
 			i := m.ring.slot(second*stepsPerSecond + back)
-			asked += u.requested[i]
-			got += u.granted[i]
+			requested += u.requested[i]
+			got += u.got[i]
 		}
-		if asked <= unmetDemandRatio*got {
+		if requested <= unmetDemandRatio*got {
 			return int(second)
 		}
 	}
@@ -74,7 +74,7 @@
 	m.leastServed = math.Inf(1)
 	for id, u := range m.orgs {
 		if m.hasUnmetDemand(id, u) {
-			m.leastServed = min(m.leastServed, windowTotal(&u.granted))
+			m.leastServed = min(m.leastServed, windowTotal(&u.got))
 		}
 	}
 }
--- a/internal/dispatch/localdecision.go
+++ b/internal/dispatch/localdecision.go
@@ -24,14 +24,14 @@
 // usageSum is in tokens as counted by Cost.
 type usageSum struct{ requested, placed float64 }
 
-func (s usageSum) plus(wanted, placed float64) usageSum {
-	return usageSum{s.requested + wanted, s.placed + placed}
+func (s usageSum) plus(requested, placed float64) usageSum {
+	return usageSum{s.requested + requested, s.placed + placed}
 }
 
 func newLocalUsage() localUsage { return localUsage{sums: map[serviceOrg]usageSum{}} }
 
-func (u *localUsage) add(k serviceOrg, wanted, placed float64) {
-	u.sums[k] = u.sums[k].plus(wanted, placed)
+func (u *localUsage) add(k serviceOrg, requested, placed float64) {
+	u.sums[k] = u.sums[k].plus(requested, placed)
 }
 
 // handleShedWork counts requests that were shed.
@@ -53,16 +53,16 @@
 		return false // the service has no shares, or this router counts them itself
 	}
 	tokens := Cost(int(a.Input), int(a.Output))
-	wanted := 0.0
+	requested := 0.0
 	if a.Try <= 1 {
-		wanted = tokens
+		requested = tokens
 	}
-	got := 0.0
+	granted := 0.0
 	if placed {
-		got = tokens
+		granted = tokens
 	}
 	k := serviceOrg{p.id, a.Org}
-	n.unreportedUsage.add(k, wanted, got)
+	n.unreportedUsage.add(k, requested, granted)
 	n.reports.addDecision(k, tokens, placed)
 	if placed {
 		n.Counts.OwnPlaced++
--- a/internal/dispatch/localdecision_test.go
+++ b/internal/dispatch/localdecision_test.go
@@ -69,7 +69,7 @@
 	got := 0.0
 	for _, n := range f.nodes {
 		if u := n.pools[serviceID(engines)].meter.orgs[version.IDOf("own")]; u != nil {
-			got = max(got, windowTotal(&u.granted))
+			got = max(got, windowTotal(&u.got))
 		}
 	}
 	assert.GreaterOrEqual(t, got, Cost(4000, 50))
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -52,9 +52,9 @@
 	}
 }
 
-func (n *Node) setOverloaded(id wire.NodeID, late bool) {
+func (n *Node) setOverloaded(id wire.NodeID, overloaded bool) {
 	for _, p := range n.pools {
-		p.setOverloaded(id, late)
+		p.setOverloaded(id, overloaded)
 	}
 }
 
@@ -64,11 +64,11 @@
 // Load pattern: a flood at one small router, which reported first events 0.7 to 2.7 s late.
 // The median engine seemed 100 to 700 ms behind, and organisations under their shares were
 // refused everywhere while engines had nothing to read.
-func (p *pool) setOverloaded(id wire.NodeID, late bool) {
-	if p.overloaded[id] == late {
+func (p *pool) setOverloaded(id wire.NodeID, overloaded bool) {
+	if p.overloaded[id] == overloaded {
 		return
 	}
-	if !late {
+	if !overloaded {
 		delete(p.overloaded, id)
 		return
 	}
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -200,14 +200,14 @@
 func (p *pool) estimate(u *upstream, from wire.NodeID, a *wire.PlacementRequest, holder *upstream, now time.Time) choice {
 	m := p.learner.Model()
 	c := choice{up: u, waitMS: u.backlog(m, now)}
-	kept, fetched := u.cached, 0
-	if holder != nil && holder != u && holder.ready > kept {
-		fetched = holder.ready - kept
-		kept = holder.ready
+	cached, fetched := u.cached, 0
+	if holder != nil && holder != u && holder.ready > cached {
+		fetched = holder.ready - cached
+		cached = holder.ready
 		c.source = holder
 		c.penaltyMS += fetchCostMS
 	}
-	c.work = max(0, int(a.Input)-kept)
+	c.work = max(0, int(a.Input)-cached)
 	c.prompt = prefill.PromptOf(c.work, fetched, int(a.Input))
 	c.ownMS = m.Read(c.prompt) * u.queue.Slow(m, now)
 	if u.place != a.Place {
--- a/internal/dispatch/prefill/learn.go
+++ b/internal/dispatch/prefill/learn.go
@@ -75,11 +75,11 @@
 
 // Inherit adopts the model of a peer that has seen more samples. It becomes the prior of
 // all later fits, so that a new scheduler starts from it.
-func (l *Learner) Inherit(m Model, seen int) {
-	if seen <= l.sampleCount || !m.usable() {
+func (l *Learner) Inherit(m Model, sampleCount int) {
+	if sampleCount <= l.sampleCount || !m.usable() {
 		return
 	}
-	l.model, l.prior, l.sampleCount = m, m, seen
+	l.model, l.prior, l.sampleCount = m, m, sampleCount
 	l.samples, l.next, l.sinceFit = l.samples[:0], 0, 0
 }
 
--- a/internal/dispatch/rank.go
+++ b/internal/dispatch/rank.go
@@ -34,7 +34,7 @@
 	r = &ranking{changes: n.members.Changes, at: now}
 	var list []rankedRouter
 	for _, id := range n.members.Live(false) {
-		if until, silent := n.excluded[id]; !silent || now.After(until) {
+		if until, excluded := n.excluded[id]; !excluded || now.After(until) {
 			list = append(list, rankedRouter{id, n.cpuClass(id), rendezvousHash(service, id)})
 		}
 	}
--- a/internal/dispatch/recordedusage.go
+++ b/internal/dispatch/recordedusage.go
@@ -26,16 +26,16 @@
 	return recordedUsage{sums: map[version.ID]usageSum{}, known: map[wire.NodeID]map[version.ID]usageSum{}}
 }
 
-func (b *recordedUsage) add(org version.ID, wanted, placed float64) {
-	b.sums[org] = b.sums[org].plus(wanted, placed)
+func (b *recordedUsage) add(org version.ID, requested, placed float64) {
+	b.sums[org] = b.sums[org].plus(requested, placed)
 }
 
 // addKnown records that a router already knows of this usage, because it reported it.
-func (b *recordedUsage) addKnown(from wire.NodeID, org version.ID, wanted, placed float64) {
+func (b *recordedUsage) addKnown(from wire.NodeID, org version.ID, requested, placed float64) {
 	if b.known[from] == nil {
 		b.known[from] = map[version.ID]usageSum{}
 	}
-	b.known[from][org] = b.known[from][org].plus(wanted, placed)
+	b.known[from][org] = b.known[from][org].plus(requested, placed)
 }
 
 // unknownTo returns the usage that a router does not know yet.
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -167,8 +167,8 @@
 // AlternativeSource returns a router from which to fetch the whole content instead of one whose
 // answer cannot be used: a relay of the own place, or any other router. It is empty if there
 // is none.
-func (n *Node) AlternativeSource(than wire.NodeID, now time.Time) wire.NodeID {
-	usable := func(id wire.NodeID) bool { return id != n.settings.ID && id != than }
+func (n *Node) AlternativeSource(except wire.NodeID, now time.Time) wire.NodeID {
+	usable := func(id wire.NodeID) bool { return id != n.settings.ID && id != except }
 	for _, id := range n.relays(now)[n.settings.Place] {
 		if usable(id) {
 			return id
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -165,7 +165,7 @@
 			continue
 		}
 		u := p.meter.orgs[id]
-		n.out = append(n.out, ShareReport{Service: p.service, Org: n.reports.orgNames[id], Requested: int(windowTotal(&u.requested)), Granted: int(windowTotal(&u.granted)), Started: int(windowTotal(&u.started)),
+		n.out = append(n.out, ShareReport{Service: p.service, Org: n.reports.orgNames[id], Requested: int(windowTotal(&u.requested)), Granted: int(windowTotal(&u.got)), Started: int(windowTotal(&u.started)),
 			Share: int(p.meter.shares[id]), UnmetSeconds: p.meter.unmetSeconds(u), Waits: p.meter.hasUnmetDemand(id, u)})
 	}
 }
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -34,7 +34,7 @@
 // orgUsage is the tokens of one organisation by step: requested, granted, refused because
 // of the wait while it was under its share, and started by an engine. started is used for
 // logging only.
-type orgUsage struct{ requested, granted, refusedUnderShare, started [shareSteps]float64 }
+type orgUsage struct{ requested, got, refusedUnderShare, started [shareSteps]float64 }
 
 func newMeter(tokensPerSecond float64) *meter {
 	m := &meter{
@@ -66,7 +66,7 @@
 // window.
 func (m *meter) clearStep(i int) {
 	for id, u := range m.orgs {
-		u.requested[i], u.granted[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
+		u.requested[i], u.got[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
 		if windowTotal(&u.requested) == 0 {
 			delete(m.orgs, id)
 		}
@@ -98,7 +98,7 @@
 // addGrant counts placed tokens; a negative number takes them back.
 func (m *meter) addGrant(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
-	m.usageOf(org).granted[i] += tokens
+	m.usageOf(org).got[i] += tokens
 	m.recordedUsage.add(org, 0, tokens)
 }
 
@@ -140,7 +140,7 @@
 	if share <= 0 {
 		return 0
 	}
-	return windowTotal(&m.usageOf(org).granted) / share
+	return windowTotal(&m.usageOf(org).got) / share
 }
 
 // demand is what an organisation requested in the window, in tokens.
--- a/internal/dispatch/sharecoverage.go
+++ b/internal/dispatch/sharecoverage.go
@@ -45,8 +45,8 @@
 
 // localCoverage is the ratio of an organisation's requests that is admitted here.
 func (n *Node) localCoverage(p *pool, org version.ID, now time.Time) float64 {
-	here := p.local.at(org, now)
-	placed := coverageFactor * windowTotal(&here.granted) / max(1, windowTotal(&here.requested))
+	local := p.local.at(org, now)
+	placed := coverageFactor * windowTotal(&local.got) / max(1, windowTotal(&local.requested))
 	if n.schedulerOf(p.id, now) == n.settings.ID {
 		return max(placed, p.meter.coverageByShare(org, now))
 	}
@@ -66,7 +66,7 @@
 func (m *meter) coverageByShare(org version.ID, now time.Time) float64 {
 	m.updateShares(now)
 	u, share := m.usageOf(org), m.shares[org]
-	if share <= 0 || windowTotal(&u.granted) < share {
+	if share <= 0 || windowTotal(&u.got) < share {
 		return 1
 	}
 	return coverageFactor * share / max(1, windowTotal(&u.requested))
--- a/internal/dispatch/sharecoverage_test.go
+++ b/internal/dispatch/sharecoverage_test.go
@@ -43,9 +43,9 @@
 	p := n.pools[serviceID(engines)]
 	org := version.IDOf("flood")
 	n.shareUpdates.received[serviceOrg{p.id, org}] = receivedShareUpdate{wire.ShareUpdate{Service: p.id, Org: org, SharePercent: 400, Share: 10_000, Requested: 1_000_000}, f.now}
-	here := p.local.at(org, f.now)
-	here.requested, here.granted = [shareSteps]float64{1_000_000}, [shareSteps]float64{40_000}
+	local := p.local.at(org, f.now)
+	local.requested, local.got = [shareSteps]float64{1_000_000}, [shareSteps]float64{40_000}
 	assert.InDelta(t, coverageFactor*0.04, n.localCoverage(p, org, f.now), 1e-9)
-	here.granted = [shareSteps]float64{}
+	local.got = [shareSteps]float64{}
 	assert.InDelta(t, coverageFactor*0.01, n.localCoverage(p, org, f.now), 1e-9)
 }
--- a/internal/dispatch/shareupdate.go
+++ b/internal/dispatch/shareupdate.go
@@ -113,7 +113,7 @@
 func (n *Node) localOver(p *pool, org version.ID, now time.Time) float64 {
 	over := 0.0
 	if allowed := n.localAllowance(p, org, now); allowed > 0 {
-		over = windowTotal(&p.local.at(org, now).granted) / allowed
+		over = windowTotal(&p.local.at(org, now).got) / allowed
 	}
 	if w := n.shareUpdates.received[serviceOrg{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < overTTL {
 		over = max(over, float64(w.SharePercent)/100)
@@ -130,7 +130,7 @@
 	if w.at.IsZero() {
 		return p.local.capacity / float64(max(1, len(n.reports.orgNames)))
 	}
-	asked := windowTotal(&p.local.at(org, now).requested)
-	fraction := asked / max(1, float64(w.Requested))
+	requested := windowTotal(&p.local.at(org, now).requested)
+	fraction := requested / max(1, float64(w.Requested))
 	return float64(w.Share) * min(1, max(fraction, minLocalShareRatio))
 }
--- a/internal/dispatch/shareupdate_test.go
+++ b/internal/dispatch/shareupdate_test.go
@@ -172,9 +172,9 @@
 	heir.unreportedUsage.add(serviceOrg{p.id, 8}, 9000, 9000)
 	f.run(2 * recordedUsageInterval)
 	assert.InDelta(t, 50_000, windowTotal(&own.at(7, f.now).requested), 1)
-	assert.InDelta(t, 20_000, windowTotal(&own.at(7, f.now).granted), 1)
-	assert.InDelta(t, 9000, windowTotal(&own.at(8, f.now).granted), 1)
-	assert.InDelta(t, 9000, windowTotal(&p.meter.at(8, f.now).granted), 1)
+	assert.InDelta(t, 20_000, windowTotal(&own.at(7, f.now).got), 1)
+	assert.InDelta(t, 9000, windowTotal(&own.at(8, f.now).got), 1)
+	assert.InDelta(t, 9000, windowTotal(&p.meter.at(8, f.now).got), 1)
 }
 
 // A placement that was not used counted as granted to its organisation, and for good at the
@@ -186,10 +186,10 @@
 	meter := f.nodes[f.scheduler()].pools[serviceID(engines)].meter
 	f.arrive(id, 1, engines, "unlucky", 4000)
 	f.placed(id, 1)
-	assert.Positive(t, windowTotal(&meter.at(org, f.now).granted))
+	assert.Positive(t, windowTotal(&meter.at(org, f.now).got))
 	f.nodes[id].Step(End{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.run(100 * time.Millisecond)
-	assert.Zero(t, windowTotal(&meter.at(org, f.now).granted), "its engine crashed before the first event")
+	assert.Zero(t, windowTotal(&meter.at(org, f.now).got), "its engine crashed before the first event")
 
 	f.cut[f.scheduler()] = true
 	f.arrive(id, 2, engines, "unlucky", 4000)
@@ -199,12 +199,12 @@
 	f.run(2 * localUsageInterval)
 	f.nodes[id].Step(End{ID: 2, Event: wire.ProgressUnused}, f.now)
 	f.run(4 * localUsageInterval)
-	assert.InDelta(t, 0, windowTotal(&meter.at(org, f.now).granted), 1, "it was placed without the scheduler, and never sent")
-	assert.InDelta(t, 0, windowTotal(&f.nodes[id].pools[serviceID(engines)].local.at(org, f.now).granted), 1)
+	assert.InDelta(t, 0, windowTotal(&meter.at(org, f.now).got), 1, "it was placed without the scheduler, and never sent")
+	assert.InDelta(t, 0, windowTotal(&f.nodes[id].pools[serviceID(engines)].local.at(org, f.now).got), 1)
 
 	f.arrive(id, 3, engines, "unlucky", 4000)
 	f.nodes[id].Step(FirstEvent{ID: 3, After: 100 * time.Millisecond}, f.now)
 	f.nodes[id].Step(End{ID: 3, Event: wire.ProgressFailed}, f.now)
 	f.run(100 * time.Millisecond)
-	assert.Positive(t, windowTotal(&meter.at(org, f.now).granted), "started work counts as granted")
+	assert.Positive(t, windowTotal(&meter.at(org, f.now).got), "started work counts as granted")
 }
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -194,8 +194,8 @@
 	if id == n.settings.ID {
 		return n.store.isUnreachable(now)
 	}
-	at, told := n.store.unreachable[id]
-	return told && now.Sub(at) < storeUnreachableTTL
+	at, reported := n.store.unreachable[id]
+	return reported && now.Sub(at) < storeUnreachableTTL
 }
 
 // handleStoreUnreachable records whether a router reports the store unreachable.
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -127,7 +127,7 @@
 		for age := range int64(shareSteps) {
 			i := m.ring.slot(age)
 			w.Requested = append(w.Requested, float32(u.requested[i]))
-			w.Received = append(w.Received, float32(u.granted[i]))
+			w.Received = append(w.Received, float32(u.got[i]))
 		}
 		out = append(out, w)
 	}
@@ -147,7 +147,7 @@
 				u.requested[i] = max(u.requested[i], finite(r.Requested[age]))
 			}
 			if age < int64(len(r.Received)) {
-				u.granted[i] = max(u.granted[i], finite(r.Received[age]))
+				u.got[i] = max(u.got[i], finite(r.Received[age]))
 			}
 		}
 	}
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -38,10 +38,10 @@
 	f.run(2 * TickInterval)
 	got := f.nodes[first].pools[p]
 	assert.Greater(t, got.meter.over(flood, f.now), 1.0)
-	assert.InDelta(t, windowTotal(&next.pools[p].meter.at(flood, f.now).granted), windowTotal(&got.meter.at(flood, f.now).granted), 1)
+	assert.InDelta(t, windowTotal(&next.pools[p].meter.at(flood, f.now).got), windowTotal(&got.meter.at(flood, f.now).got), 1)
 	assert.Equal(t, 3000, cachedTokensOf(got.upstreams[u.id].cache, []wire.PromptPart{part}))
 	f.run(2 * recordedUsageInterval)
-	assert.InDelta(t, 2_000_000, windowTotal(&got.meter.at(flood, f.now).granted), 5000, "what came with the snapshot is not replicated again")
+	assert.InDelta(t, 2_000_000, windowTotal(&got.meter.at(flood, f.now).got), 5000, "what came with the snapshot is not replicated again")
 }
 
 // Usage that a scheduler has sent with a snapshot must not be replicated again.
@@ -64,7 +64,7 @@
 	f.run(2 * TickInterval)
 	require.True(t, f.nodes[heir].pools[p].takeover.done)
 	f.run(recordedUsageInterval)
-	assert.InDelta(t, 9000, windowTotal(&f.nodes[heir].pools[p].meter.at(7, f.now).granted), 1)
+	assert.InDelta(t, 9000, windowTotal(&f.nodes[heir].pools[p].meter.at(7, f.now).got), 1)
 }
 
 // A member of the group that does not answer is passed over for the next one, and the number of
@@ -102,7 +102,7 @@
 		{Org: 2},
 	}, start)
 	assert.Equal(t, 7.0, windowTotal(&m.at(1, start).requested))
-	assert.Zero(t, windowTotal(&m.at(1, start).granted))
+	assert.Zero(t, windowTotal(&m.at(1, start).got))
 	f := newFleet(t, 3, 1)
 	f.nodes[f.order[0]].Step(SnapshotFetched{Snapshot: &wire.Snapshot{Services: []wire.ServiceSnapshot{{Service: 99}, {Service: serviceID(counter)}}}}, f.now)
 }
--- a/internal/dispatch/undercapacity.go
+++ b/internal/dispatch/undercapacity.go
@@ -34,7 +34,7 @@
 func (m *meter) updateGrantedShares(demands []demand) {
 	got, refusedUnderShare := 0.0, 0.0
 	for _, u := range m.orgs {
-		got += windowTotal(&u.granted)
+		got += windowTotal(&u.got)
 		refusedUnderShare += windowTotal(&u.refusedUnderShare)
 	}
 	m.grantedShares = nil
@@ -48,5 +48,5 @@
 func (m *meter) aboveGrantedShare(org version.ID, now time.Time) bool {
 	m.updateShares(now)
 	share, short := m.grantedShares[org]
-	return short && windowTotal(&m.usageOf(org).granted) > maxGrantedRatio*share
+	return short && windowTotal(&m.usageOf(org).got) > maxGrantedRatio*share
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -86,12 +86,12 @@
 
 // New returns a world at a fixed time. Its routers are made by mk, or are core nodes if mk
 // is nil.
-func New(v *version.Version, seed uint64, mk func(core.Settings, time.Time) Router) *World {
-	if mk == nil {
-		mk = func(s core.Settings, now time.Time) Router { return core.New(s, now) }
+func New(v *version.Version, seed uint64, newRouter func(core.Settings, time.Time) Router) *World {
+	if newRouter == nil {
+		newRouter = func(s core.Settings, now time.Time) Router { return core.New(s, now) }
 	}
 	return &World{
-		Now: time.Unix(1_800_000_000, 0), Version: v, NewRouter: mk,
+		Now: time.Unix(1_800_000_000, 0), Version: v, NewRouter: newRouter,
 		Hosts: map[wire.NodeID]*Host{}, Link: Link{Delay: time.Millisecond, Jitter: time.Millisecond},
 		TokenInterval: 75 * time.Millisecond, FirstTokenDelay: 300 * time.Millisecond,
 		SentBytes: map[wire.NodeID]int64{}, ServedTokens: map[version.ID]float64{}, AnsweredRequests: map[version.ID]float64{},
