--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -18,14 +18,14 @@
 
 // row holds the worst results of a strategy, fault and unit over all seeds.
 type row struct {
-	Strategy        string       `json:"way"`
-	Fault           lab.Fault    `json:"fault"`
-	Unit            version.Unit `json:"unit"`
-	Gap             float64      `json:"gap_largest_requests"`
-	Utilisation     float64      `json:"utilisation"`
-	Control         float64      `json:"control_bytes_per_second_per_router"`
-	Busiest         float64      `json:"control_bytes_per_second_busiest_router"`
-	MisplacedStarts int          `json:"starts_outside_allowed_places"`
+	Strategy    string       `json:"way"`
+	Fault       lab.Fault    `json:"fault"`
+	Unit        version.Unit `json:"unit"`
+	Gap         float64      `json:"gap_largest_requests"`
+	Utilisation float64      `json:"utilisation"`
+	Control     float64      `json:"control_bytes_per_second_per_router"`
+	Busiest     float64      `json:"control_bytes_per_second_busiest_router"`
+	Strays      int          `json:"starts_outside_allowed_places"`
 }
 
 func main() {
@@ -73,7 +73,7 @@
 	r.Utilisation = min(r.Utilisation, s.Utilisation)
 	r.Control = max(r.Control, s.Control)
 	r.Busiest = max(r.Busiest, s.Busiest)
-	r.MisplacedStarts += s.MisplacedStarts
+	r.Strays += s.Strays
 }
 
 // runParallel runs all functions, on half of the cores at once.
@@ -103,6 +103,6 @@
 	fmt.Println("| unit | fault | way | gap, largest requests | slots used while work waits | control B/s a router | busiest router | starts out of place |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	for _, r := range rows {
-		fmt.Printf("| %s | %s | %s | %.2f | %.3f | %.0f | %.0f | %d |\n", r.Unit, r.Fault, r.Strategy, r.Gap, r.Utilisation, r.Control, r.Busiest, r.MisplacedStarts)
+		fmt.Printf("| %s | %s | %s | %.2f | %.3f | %.0f | %.0f | %d |\n", r.Unit, r.Fault, r.Strategy, r.Gap, r.Utilisation, r.Control, r.Busiest, r.Strays)
 	}
 }
--- a/cmd/bench/tokens.go
+++ b/cmd/bench/tokens.go
@@ -80,13 +80,13 @@
 		sum.Fetched += r.Fetched
 		sum.Control += r.Control
 		sum.Least = min(sum.Least, r.Least)
-		for i := range r.Observed {
-			sum.Observed[i] += r.Observed[i] / float64(seeds)
+		for i := range r.Seen {
+			sum.Seen[i] += r.Seen[i] / float64(seeds)
 			sum.Predicted[i] += r.Predicted[i] / float64(seeds)
 		}
 	}
 	n := float64(seeds)
 	return fmt.Sprintf("| %s | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %d | %d | %.0f | %.0f, %.0f, %.0f | %.0f, %.0f, %.0f |", scenario, ablation, sum.Owed/n, sum.Least, sum.Beyond/n, sum.Busy/n,
 		float64(sum.Late)/float64(sum.Asked), float64(sum.Refused)/float64(sum.Asked), sum.ReadAgain/seeds, sum.Fetched/seeds, sum.Control/n,
-		sum.Predicted[0], sum.Predicted[1], sum.Predicted[2], sum.Observed[0], sum.Observed[1], sum.Observed[2])
+		sum.Predicted[0], sum.Predicted[1], sum.Predicted[2], sum.Seen[0], sum.Seen[1], sum.Seen[2])
 }
--- a/internal/core/crashes.go
+++ b/internal/core/crashes.go
@@ -10,8 +10,8 @@
 	"github.com/silverswitch/silverswitch/internal/version"
 )
 
-// Broke says that an attempt ended without a complete answer although the upstream may have run
-// it. Early is set when its answer had no event yet.
+// AttemptIncomplete says that an attempt ended without a complete answer although the upstream
+// may have run it. Early is set when its answer had no event yet.
 type AttemptIncomplete struct {
 	Content  fingerprint.Fingerprint
 	Org      version.ID
@@ -50,7 +50,7 @@
 // last call.
 func (n *Node) Quarantine() (quarantine.View, bool) { return n.crashes.View() }
 
-// broke handles an attempt that ended without a complete answer. The end of an upstream that is
+// attemptIncomplete handles an attempt that ended without a complete answer. The end of an upstream that is
 // leaving is planned, and so is no evidence against the requests that it still runs.
 func (n *Node) attemptIncomplete(in AttemptIncomplete, now time.Time) {
 	if n.drains[in.Upstream] != nil {
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -72,6 +72,7 @@
 	minPaceStarts           = 3                // decayed number of starts below which there is no estimate
 )
 
+// trackedRequest is a request that waits or runs, from Arrive to its end.
 type trackedRequest struct {
 	Request
 	queue    *queue
@@ -98,7 +99,7 @@
 	refused      []Refusal
 	Counts       Counts
 
-	nextDeadline time.Time // no waiting flight has an earlier deadline
+	nextDeadline time.Time // no waiting request has an earlier deadline
 }
 
 // Counts are this router's totals since its start.
--- a/internal/core/entry/queue.go
+++ b/internal/core/entry/queue.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// dequeue removes a flight from its queue, if it waits in one.
+// dequeue removes a request from its queue, if it waits in one.
 func (e *Entry) dequeue(f *trackedRequest) {
 	q := f.queue
 	if q == nil || f.running {
@@ -169,7 +169,7 @@
 	e.nextDeadline = next
 }
 
-// updateNextDeadline keeps nextDeadline at or before the deadline of every waiting flight.
+// updateNextDeadline keeps nextDeadline at or before the deadline of every waiting request.
 func (e *Entry) updateNextDeadline(f *trackedRequest) {
 	if f.Deadline.Before(e.nextDeadline) {
 		e.nextDeadline = f.Deadline
@@ -183,8 +183,8 @@
 	return e.retryAfter(f.queue)
 }
 
-// dequeueStarted removes a flight that starts from its queue, and keeps the reference to the
-// queue in case the flight is returned.
+// dequeueStarted removes a request that starts from its queue, and keeps the reference to the
+// queue in case the request is returned.
 func (e *Entry) dequeueStarted(f *trackedRequest) {
 	q := f.queue
 	e.dequeue(f)
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -100,8 +100,8 @@
 	Upstream version.ID
 }
 
-// Refuse rejects a request of which nothing was sent. Doubt is set when an earlier attempt with
-// the same key may have run, so that the outcome is unknown.
+// Refuse rejects a request of which nothing was sent. MayHaveRun is set when an earlier attempt
+// with the same key may have run, so that the outcome is unknown.
 type Refuse struct {
 	ID         uint64
 	Reason     entry.Reason
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -116,7 +116,7 @@
 	Lost    bool // the upstream's side closed the connection
 }
 
-// Broke records an attempt at an upstream. It reports whether the upstream is to be probed now.
+// AttemptIncomplete records an attempt at an upstream that ended without a complete answer. It reports whether the upstream is to be probed now.
 func (t *Tracker) AttemptIncomplete(up version.ID, a Attempt, now time.Time) bool {
 	if _, left := t.left[up]; left {
 		return false // a planned end is no evidence against the requests that it still ran
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -19,7 +19,7 @@
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	f.nodes[id].Step(Catalogue{Table: table(t, 60_000), Instances: instances(2), Revision: 6, AsOf: 10}, f.now)
-	asked, refused := map[string]int{}, map[string]int{}
+	requested, refused := map[string]int{}, map[string]int{}
 	free := map[string]time.Time{}
 	type event struct {
 		at time.Time
@@ -31,7 +31,7 @@
 		if no%8 == 0 {
 			org = "small"
 		}
-		asked[org]++
+		requested[org]++
 		f.arrive(id, no, engines, org, 4000)
 		switch o := f.got[id][no].(type) {
 		case Placement:
@@ -56,8 +56,8 @@
 			}
 		}
 	}
-	part := func(org string) float64 { return float64(refused[org]) / float64(asked[org]) }
-	assert.Less(t, part("small"), 0.3, "%v of %v", refused, asked)
+	part := func(org string) float64 { return float64(refused[org]) / float64(requested[org]) }
+	assert.Less(t, part("small"), 0.3, "%v of %v", refused, requested)
 	assert.Greater(t, part("large"), 0.4)
 }
 
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -27,19 +27,19 @@
 	}
 	p.setInstances(list)
 	now := start
-	ask := func(no int) (wire.NodeID, *wire.PlacementRequest) {
+	newRequest := func(no int) (wire.NodeID, *wire.PlacementRequest) {
 		parts := []wire.PromptPart{{Part: uint64(no % 4), Tokens: 2520}, {Part: uint64(100 + no%263), Tokens: 3780}, {Part: uint64(10_000 + no), Tokens: 2890}}
 		return wire.NodeID(fmt.Sprint(no % 58)), &wire.PlacementRequest{No: uint64(no), Try: 1, Org: 1, Place: version.IDOf(fmt.Sprint(no % 3)), Input: 9190, Output: 50, TargetMS: 600, DeadlineMS: 6000, Parts: parts}
 	}
 	end := func(no int) {
-		from, _ := ask(no)
+		from, _ := newRequest(no)
 		p.note(from, wire.ProgressNote{No: uint64(no), Event: wire.ProgressFirstEvent, FirstMS: 100}, now)
 		p.note(from, wire.ProgressNote{No: uint64(no), Event: wire.ProgressDone}, now)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(2 * time.Millisecond)
-		from, a := ask(i)
+		from, a := newRequest(i)
 		p.decide(from, a, now)
 		if i >= 600 {
 			end(i - 600)
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -34,7 +34,7 @@
 // isSmall reports whether a decision compares all upstreams of the pool.
 func (p *pool) isSmall() bool { return len(p.order) <= maxFullScan }
 
-// look is the list of candidates of one decision.
+// candidateList is the list of candidates of one decision.
 type candidateList struct {
 	decisionNo uint64 // counts decisions
 	upstreams  []*upstream
--- a/internal/dispatch/cold_simulation_test.go
+++ b/internal/dispatch/cold_simulation_test.go
@@ -235,7 +235,7 @@
 		if n < 1 && d.rnd.Float64() > n {
 			break
 		}
-		d.ask(d.order[d.rnd.IntN(len(d.order))])
+		d.sendRequest(d.order[d.rnd.IntN(len(d.order))])
 	}
 	d.runTick()
 	d.collect()
@@ -253,7 +253,7 @@
 	d.deliver()
 }
 
-func (d *coldSimulation) ask(id wire.NodeID) {
+func (d *coldSimulation) sendRequest(id wire.NodeID) {
 	if d.cut[id] {
 		return
 	}
--- a/internal/dispatch/conns.go
+++ b/internal/dispatch/conns.go
@@ -17,12 +17,13 @@
 	until map[wire.NodeID][]time.Time // when each connection will have been closed, in order
 }
 
+// cached reports whether a router keeps an idle connection.
 func (c *conns) cached(node wire.NodeID, now time.Time) bool {
 	list := c.until[node]
 	return len(list) > 0 && now.Before(list[len(list)-1])
 }
 
-// use takes a kept connection, or opens a new one.
+// use takes an idle connection, or opens a new one.
 func (c *conns) use(node wire.NodeID, now time.Time) {
 	if !c.cached(node, now) {
 		delete(c.until, node)
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -13,8 +13,8 @@
 // Requests that crash upstreams: what this router observes of them and reports. Package
 // quarantine decides what follows from it.
 
-// Broke reports that an attempt ended without a complete answer though the upstream may
-// have run it. Early is set if the answer had no event yet, Lost if the upstream's side
+// AttemptIncomplete reports that an attempt ended without a complete answer though the
+// upstream may have run it. Early is set if the answer had no event yet, Lost if the upstream's side
 // closed the connection.
 type AttemptIncomplete struct {
 	Content  fingerprint.Fingerprint
@@ -66,7 +66,7 @@
 	return n.crashes.Held(n.reports.orgNames, now)
 }
 
-// broke handles an attempt that ended without a complete answer.
+// attemptIncomplete handles an attempt that ended without a complete answer.
 func (n *Node) attemptIncomplete(in AttemptIncomplete, now time.Time) {
 	if n.isLeaving(in.Instance) {
 		return // the end is planned, and proves nothing about the requests that still run there
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -20,7 +20,7 @@
 
 const crashingRequest fingerprint.Fingerprint = 0xdead
 
-// broke ends an attempt at an engine without an answer.
+// attemptIncomplete ends an attempt at an engine without an answer.
 func (f *fleet) attemptIncomplete(id wire.NodeID, c fingerprint.Fingerprint, inst routing.Instance, lost bool) {
 	f.nodes[id].Step(AttemptIncomplete{Content: c, Org: "alpha", Instance: inst, Began: f.now, Lost: lost}, f.now)
 	f.deliver()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -90,9 +90,9 @@
 func TestRepeatedPlacementRequestCountsOnce(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	s, id := f.scheduler(), f.other()
-	ask := wire.PlacementRequest{No: 1, Try: 1, Service: serviceID(engines), Org: 3, Input: 1000, TargetMS: 600, DeadlineMS: 6000}
+	request := wire.PlacementRequest{No: 1, Try: 1, Service: serviceID(engines), Org: 3, Input: 1000, TargetMS: 600, DeadlineMS: 6000}
 	for range 3 {
-		f.nodes[s].reply(id, &ask, f.now)
+		f.nodes[s].reply(id, &request, f.now)
 	}
 	p := f.nodes[s].pools[serviceID(engines)]
 	assert.Len(t, p.runs, 1)
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -154,22 +154,22 @@
 	for _, id := range f.watching() {
 		due[id] = began.Add(time.Duration(rnd.Int64N(int64(gather))))
 	}
-	heard := map[wire.NodeID]time.Duration{}
+	delays := map[wire.NodeID]time.Duration{}
 	take := func(id wire.NodeID) {
-		if _, known := heard[id]; known {
+		if _, known := delays[id]; known {
 			return
 		}
-		heard[id] = f.now.Sub(began)
+		delays[id] = f.now.Sub(began)
 		n := f.nodes[id]
 		n.Step(Catalogue{Table: n.catalogue.Table, Instances: wholeCatalogue(n).Instances, Evacuated: []routing.Evacuation{{Place: "p", Revision: to}}, Revision: to, AsOf: to}, f.now)
 	}
 	f.onApply = func(id wire.NodeID, _ *wire.StoreDelta) { take(id) }
 	f.onFetch = func(id, from wire.NodeID) {
-		if _, knows := heard[from]; knows && !f.cut[id] {
+		if _, knows := delays[from]; knows && !f.cut[id] {
 			take(id)
 		}
 	}
-	for f.now.Sub(began) < 5*time.Second && len(heard) < routers {
+	for f.now.Sub(began) < 5*time.Second && len(delays) < routers {
 		for id, at := range due {
 			if !f.now.Before(at) {
 				delete(due, id)
@@ -181,7 +181,7 @@
 	}
 	var out []time.Duration
 	for _, id := range f.order {
-		if d, known := heard[id]; known {
+		if d, known := delays[id]; known {
 			out = append(out, d)
 		}
 	}
@@ -199,13 +199,13 @@
 	for routers, times := range runs {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			for seed := range times {
-				heard := evacuationDelays(t, routers, 0.03, uint64(seed))
-				require.Len(t, heard, routers)
+				delays := evacuationDelays(t, routers, 0.03, uint64(seed))
+				require.Len(t, delays, routers)
 				last := time.Duration(0)
-				for _, d := range heard {
+				for _, d := range delays {
 					last = max(last, d)
 				}
-				t.Logf("the last of %d heard after %s", routers, last)
+				t.Logf("the last of %d routers learned of it after %s", routers, last)
 				assert.LessOrEqual(t, last, time.Second-50*time.Millisecond)
 			}
 		})
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -179,8 +179,8 @@
 }
 
 func cachedTokensOf(c *cache, parts []wire.PromptPart) int {
-	kept, _ := c.prefix(parts)
-	return kept
+	cached, _ := c.prefix(parts)
+	return cached
 }
 
 func readyTokensOf(c *cache, parts []wire.PromptPart) int {
--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -152,7 +152,7 @@
 }
 
 // attachStoreState adds to a router's datagram what this one knows of the store. Without a
-// table it has no content that another router could fetch from it. The sum of the quarantined
+// table it has no content that another router could fetch from it. The checksum of the held
 // requests and the upstreams that are leaving go along with it.
 func (n *Node) attachStoreState(to wire.NodeID, now time.Time) {
 	w := n.work(to)
--- a/internal/dispatch/io.go
+++ b/internal/dispatch/io.go
@@ -56,22 +56,23 @@
 // Arrive asks for a placement of a new request.
 type Arrive struct{ Request Request }
 
-// Again asks for another upstream for a placed request, since the one it had failed
-// (Event is one of the wire.Note constants). With NoteUnused nothing was sent, and the
-// request does not count as a retry.
+// PlaceAgain requests another upstream for a placed request. Event says how the last
+// placement ended: it is one of the constants wire.ProgressFailed, ProgressRefused and
+// ProgressUnused. After ProgressUnused the new placement does not count as a retry, since the
+// upstream did not run the request.
 type PlaceAgain struct {
 	ID    uint64
 	Event uint8
 }
 
-// First reports a request's first event. After is the time since the request was sent.
+// FirstEvent reports a request's first event. After is the time since the request was sent.
 type FirstEvent struct {
 	ID    uint64
 	After time.Duration
 }
 
-// End ends a request. Event is one of the wire.Note constants; a request that was never
-// placed is abandoned with NoteUnused.
+// End ends a request. Event is one of the wire.Progress constants; a request that was never
+// placed is abandoned with ProgressUnused.
 type End struct {
 	ID    uint64
 	Event uint8
@@ -146,7 +147,7 @@
 	For      time.Duration
 }
 
-// Looked is the result of a health check of an instance that takes no request now: it is
+// HealthCheckFailed reports a health check after which an instance gets no request now: it is
 // cold for ColdFor, or was not reached if that is 0.
 type HealthCheckFailed struct {
 	Instance routing.Instance
--- a/internal/dispatch/learnedmodel_test.go
+++ b/internal/dispatch/learnedmodel_test.go
@@ -27,13 +27,13 @@
 	learned := f.nodes[id].pools[serviceID(engines)].learner.Model()
 	assert.InDelta(t, 0.01, learned.PerToken+2000*learned.PerPair/1e6, 0.004)
 	f.cut[id] = true
-	heir := f.other()
-	f.arrive(heir, 100, engines, "a", 500)
+	peer := f.other()
+	f.arrive(peer, 100, engines, "a", 500)
 	f.run(minPlacementTimeout + 2*TickInterval)
-	assert.InDelta(t, learned.Base+5, f.placed(heir, 100).PrefillMS, 8)
-	assert.NotEqual(t, id, f.nodes[heir].schedulerOf(serviceID(engines), f.now))
-	told := f.nodes[f.nodes[heir].schedulerOf(serviceID(engines), f.now)].pools[serviceID(engines)].learner.Model()
-	assert.InDelta(t, learned.Base, told.Base, 0.1)
+	assert.InDelta(t, learned.Base+5, f.placed(peer, 100).PrefillMS, 8)
+	assert.NotEqual(t, id, f.nodes[peer].schedulerOf(serviceID(engines), f.now))
+	inherited := f.nodes[f.nodes[peer].schedulerOf(serviceID(engines), f.now)].pools[serviceID(engines)].learner.Model()
+	assert.InDelta(t, learned.Base, inherited.Base, 0.1)
 }
 
 // A router that has just started may become the scheduler at once: it learns the engines'
@@ -41,10 +41,10 @@
 func TestRestartedSchedulerInheritsEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.scheduler()
-	heir := f.other()
+	peer := f.other()
 	learned := prefill.Model{Base: 200, PerToken: 0.005, PerPair: 0.1, PerFetched: 0.001}
-	f.nodes[heir].pools[serviceID(engines)].learner.Inherit(learned, 500)
-	n := New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{heir}, Retry: DefaultRetryRules}, f.now)
+	f.nodes[peer].pools[serviceID(engines)].learner.Inherit(learned, 500)
+	n := New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{peer}, Retry: DefaultRetryRules}, f.now)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(2), Revision: 5, AsOf: 9}, f.now)
 	f.nodes[id] = n
 	f.run(2 * heartbeatInterval)
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -94,17 +94,17 @@
 func TestLeaveNoticeIsRepeatedForALimitedTime(t *testing.T) {
 	f := newFleet(t, 20, 2)
 	id := f.other()
-	told := 0
-	f.onSend = func(_ wire.NodeID, s Send) { told += len(s.Datagram.DrainingUpstreams) }
+	announced := 0
+	f.onSend = func(_ wire.NodeID, s Send) { announced += len(s.Datagram.DrainingUpstreams) }
 	f.nodes[id].Step(LeaveNotice{Instance: f.instanceOf(id, "e0")}, f.now)
 	f.run(2 * leavingNoticeTTL)
-	assert.Positive(t, told)
+	assert.Positive(t, announced)
 	for _, other := range f.order {
 		assert.True(t, f.instanceOf(other, "e0").Draining, "every router knows")
 	}
-	told = 0
+	announced = 0
 	f.run(time.Second)
-	assert.Zero(t, told)
+	assert.Zero(t, announced)
 	f.arrive(f.other(), 1, engines, "a", 20)
 	assert.Equal(t, "e1", f.placed(f.other(), 1).Instance.ID, "the notice still applies")
 }
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -8,6 +8,8 @@
 // their own copies of its model up to date from its messages; a router that gets no reply
 // in time decides locally. Requests for plain services are placed at once by the router
 // that received them.
+//
+// An engine reads a prompt when it prefills it; a prompt is unread until its first event.
 package dispatch
 
 import (
@@ -78,7 +80,7 @@
 	Disabled Disabled // for ablation measurements
 }
 
-// Without switches mechanisms off, to measure what each one contributes
+// Disabled lists the mechanisms that are switched off, to measure what each one contributes
 // (internal/lab/tokens). Routers switch none off.
 type Disabled struct {
 	Shares    bool // all organisations are treated alike, whatever they have used
@@ -100,7 +102,7 @@
 	inflight         map[uint64]*inflightRequest
 	budgets          map[version.ID]*retryBudget
 	rankings         map[version.ID]*ranking
-	excluded         map[wire.NodeID]time.Time // routers that are passed over, and until when
+	excluded         map[wire.NodeID]time.Time // routers that are not chosen as scheduler, and until when
 	newerContent     map[wire.NodeID]newerContent
 	readParts        []wire.CachedPartUpdate // prefilled since the last heartbeat
 	unreportedUsage  localUsage
@@ -128,8 +130,8 @@
 	lastTick         time.Time
 	overloaded       bool // this router is short of CPU, or its last tick was late
 	cpuStrained      bool
-	lastReceivedAt   time.Time // a datagram of any router
-	lastSilenceAt    time.Time // a scheduler was last taken for silent
+	lastReceivedAt   time.Time // when a datagram of any router was last received
+	lastSilenceAt    time.Time // when a scheduler was last suspected because it did not reply
 	overloadState    overloadState
 	recordedUsageDue time.Time
 	loadsUpdatedAt   time.Time // when the stated loads were last reduced
@@ -345,7 +347,7 @@
 
 func (n *Node) event(e Event) { n.out = append(n.out, e) }
 
-// work returns the Work of the datagram that is being filled for a router.
+// work returns the Dispatch part of the datagram that is being filled for a router.
 func (n *Node) work(id wire.NodeID) *wire.Dispatch {
 	d := n.outbox.To(id)
 	if d.Dispatch == nil {
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -18,7 +18,7 @@
 	statedLoadDecayInterval = 50 * time.Millisecond
 )
 
-// lateness is the overload that this router announces.
+// overloadState is the overload that this router announces.
 type overloadState struct {
 	announced bool
 	until     time.Time
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -40,7 +40,7 @@
 	local            *meter           // of the requests received by this router, whoever decided
 	busy             busyMeter        // of prefilling
 	urgency          urgency
-	overloaded       map[wire.NodeID]bool // routers that reported themselves overloaded
+	overloaded       map[wire.NodeID]bool // routers that announce that they are overloaded
 	withoutScheduler bool                 // the current decision is not made by the fleet's scheduler
 	disabled         Disabled
 
--- a/internal/dispatch/prefill/learn.go
+++ b/internal/dispatch/prefill/learn.go
@@ -70,7 +70,7 @@
 // Model returns the current model.
 func (l *Learner) Model() Model { return l.model }
 
-// Seen returns the number of samples, including those behind an inherited model.
+// SampleCount returns the number of samples, including those behind an inherited model.
 func (l *Learner) SampleCount() int { return l.sampleCount }
 
 // Inherit adopts the model of a peer that has seen more samples. It becomes the prior of
--- a/internal/dispatch/prefill/model.go
+++ b/internal/dispatch/prefill/model.go
@@ -1,5 +1,5 @@
 // Package prefill models the time from a request to the first event of an engine's stream,
-// and learns the model from observed times.
+// and learns the model from observed times. Reading a prompt means prefilling it.
 //
 // Load pattern: engines of unknown type behind one service, some ten times faster than
 // others, with prompts whose lengths differ by a factor of a thousand. With fixed
--- a/internal/dispatch/quorum.go
+++ b/internal/dispatch/quorum.go
@@ -11,7 +11,7 @@
 // outdated, and another router may have the same role.
 
 // quorum says whether this router receives datagrams of more than half of the known routers,
-// and of routers in at least half of the places. The result is kept for quorumCacheTTL.
+// and of routers in at least half of the places. The result is cached for quorumCacheTTL.
 // Membership needs three seconds to detect that routers are gone; the age of received datagrams
 // shows it sooner.
 type quorum struct {
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -52,7 +52,7 @@
 	return slices.Contains(n.relays(now)[n.settings.Place], n.settings.ID)
 }
 
-// placeSetOf returns a router's place, "" if it is unknown.
+// placeOf returns a router's place, "" if it is unknown.
 func (n *Node) placeOf(id wire.NodeID) string {
 	if id == n.settings.ID {
 		return n.settings.Place
--- a/internal/dispatch/ring.go
+++ b/internal/dispatch/ring.go
@@ -7,7 +7,7 @@
 type ring struct {
 	interval time.Duration
 	size     int
-	now      int64
+	now      int64 // number of the current step
 }
 
 // slot returns the slot of the step that is age steps before the current one.
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -31,8 +31,8 @@
 	dirty         bool
 }
 
-// orgUsage is the tokens of one organisation by step: requested, granted, refused because
-// of the wait while it was under its share, and started by an engine. started is used for
+// orgUsage is the tokens of one organisation by step: requested, granted (got), refused
+// because of the wait while it was under its share, and started by an engine. started is used for
 // logging only.
 type orgUsage struct{ requested, got, refusedUnderShare, started [shareSteps]float64 }
 
--- a/internal/dispatch/shareupdate.go
+++ b/internal/dispatch/shareupdate.go
@@ -9,7 +9,7 @@
 
 // Share updates: the scheduler reports how much of its share an organisation has used to
 // the routers that receive the organisation's requests, and with that how much such a
-// router may place without asking again.
+// router may place without a placement request.
 //
 // Load pattern: an organisation sends many times its share through a router that is short
 // of CPU. Placement replies arrive there after the router has stopped waiting for them, so
@@ -60,8 +60,8 @@
 }
 
 // sendShareUpdate reports to a router how much of its share an organisation has used,
-// unless it did so just now. Only the scheduler reports this: a router that was asked in
-// the scheduler's place doesn't know.
+// unless it did so just now. Only the scheduler reports this: a router that decides in
+// the scheduler's place does not know.
 func (n *Node) sendShareUpdate(to wire.NodeID, p *pool, org version.ID, now time.Time) {
 	if p.engine == nil || n.schedulerOf(p.id, now) != n.settings.ID {
 		return
--- a/internal/dispatch/shareupdate_test.go
+++ b/internal/dispatch/shareupdate_test.go
@@ -101,7 +101,7 @@
 	assert.Empty(t, n.shareUpdates.received, "expired updates are removed")
 }
 
-// A router that was asked in place of a seemingly failed scheduler knew nothing, and
+// A router that decided in place of a seemingly failed scheduler knew nothing, and
 // reported that an organisation at 147 per cent of its share had used 13.
 func TestOnlySchedulerSendsShareUpdates(t *testing.T) {
 	f := newFleet(t, 4, 4)
@@ -112,8 +112,8 @@
 			third = other
 		}
 	}
-	ask := wire.PlacementRequest{No: 5, Try: 1, Service: serviceID(engines), Org: 7, Input: 4000, TargetMS: 600, DeadlineMS: 6000}
-	f.nodes[third].Step(Receive{Datagram: &wire.Datagram{From: id, Inc: 1, Dispatch: &wire.Dispatch{PlacementRequests: []wire.PlacementRequest{ask}}}}, f.now)
+	request := wire.PlacementRequest{No: 5, Try: 1, Service: serviceID(engines), Org: 7, Input: 4000, TargetMS: 600, DeadlineMS: 6000}
+	f.nodes[third].Step(Receive{Datagram: &wire.Datagram{From: id, Inc: 1, Dispatch: &wire.Dispatch{PlacementRequests: []wire.PlacementRequest{request}}}}, f.now)
 	for _, o := range f.nodes[third].Ready(f.now) {
 		if s, is := o.(Send); is && s.To == id {
 			require.NotNil(t, s.Datagram.Dispatch)
@@ -124,19 +124,19 @@
 	assert.NotEmpty(t, f.nodes[third].unreportedUsage.sums, "its placement is reported to the scheduler")
 }
 
-// A router that was asked in place of the scheduler granted what seemed to be spare
+// A router that decided in place of the scheduler granted what seemed to be spare
 // capacity, 428 requests of one flood in a second. Those that never started remained
 // counted at the scheduler.
 func TestStandInSchedulerPlacesNothingOverShare(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	sched := f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
-	heir := f.nodes[sched.ranked(p.id, f.now)[1]]
-	own := heir.pools[p.id]
+	standby := f.nodes[sched.ranked(p.id, f.now)[1]]
+	own := standby.pools[p.id]
 	addRequest := func(no uint64) wire.PlacementReply {
 		a := wire.PlacementRequest{No: no, Try: 1, Service: p.id, Org: 7, Input: 4000, TargetMS: 600, DeadlineMS: 6000}
-		heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{PlacementRequests: []wire.PlacementRequest{a}}}}, f.now)
-		for _, o := range heir.Ready(f.now) {
+		standby.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{PlacementRequests: []wire.PlacementRequest{a}}}}, f.now)
+		for _, o := range standby.Ready(f.now) {
 			if s, is := o.(Send); is && s.Datagram.Dispatch != nil && len(s.Datagram.Dispatch.PlacementReplies) > 0 {
 				return s.Datagram.Dispatch.PlacementReplies[0]
 			}
@@ -145,8 +145,8 @@
 		return wire.PlacementReply{}
 	}
 	require.NotZero(t, addRequest(1).Upstream)
-	heir.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{ProgressNotes: []wire.ProgressNote{{No: 1, Event: wire.ProgressUnused}}}}}, f.now)
-	sum := heir.unreportedUsage.sums[serviceOrg{p.id, 7}]
+	standby.Step(Receive{Datagram: &wire.Datagram{From: f.scheduler(), Inc: 1, Dispatch: &wire.Dispatch{ProgressNotes: []wire.ProgressNote{{No: 1, Event: wire.ProgressUnused}}}}}, f.now)
+	sum := standby.unreportedUsage.sums[serviceOrg{p.id, 7}]
 	assert.InDelta(t, 0, sum.placed, 0.1, "the placement and its reversal cancel out")
 	own.meter.addRequest(8, 2*statedWindowTokens, f.now)
 	own.meter.addRequest(7, 2*statedWindowTokens, f.now)
@@ -163,13 +163,13 @@
 	f := newFleet(t, 4, 4)
 	sched := f.nodes[f.scheduler()]
 	p := sched.pools[serviceID(engines)]
-	heir := f.nodes[sched.ranked(p.id, f.now)[1]]
+	standby := f.nodes[sched.ranked(p.id, f.now)[1]]
 	p.meter.addRequest(7, 50_000, f.now)
 	p.meter.addGrant(7, 20_000, f.now)
-	own := heir.pools[p.id].meter
+	own := standby.pools[p.id].meter
 	own.addRequest(8, 9000, f.now)
 	own.addGrant(8, 9000, f.now)
-	heir.unreportedUsage.add(serviceOrg{p.id, 8}, 9000, 9000)
+	standby.unreportedUsage.add(serviceOrg{p.id, 8}, 9000, 9000)
 	f.run(2 * recordedUsageInterval)
 	assert.InDelta(t, 50_000, windowTotal(&own.at(7, f.now).requested), 1)
 	assert.InDelta(t, 20_000, windowTotal(&own.at(7, f.now).got), 1)
--- a/internal/dispatch/store_test.go
+++ b/internal/dispatch/store_test.go
@@ -89,13 +89,13 @@
 func TestChangeIsSentToEveryRouter(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.nodes[f.order[0]].Step(StoreRead{Delta: &wire.StoreDelta{From: 9, To: 10}}, f.now)
-	told := map[wire.NodeID]bool{}
+	recipients := map[wire.NodeID]bool{}
 	for _, o := range f.nodes[f.order[0]].Ready(f.now) {
 		if s, ok := o.(Send); ok && s.Datagram.Dispatch != nil && s.Datagram.Dispatch.Delta != nil {
-			told[s.To] = true
+			recipients[s.To] = true
 		}
 	}
-	assert.Len(t, told, 3)
+	assert.Len(t, recipients, 3)
 }
 
 // A router that is cut off from its peers still reaches the store. It must read the store itself
@@ -142,7 +142,7 @@
 	for _, id := range f.watching() {
 		away[id] = true
 	}
-	look := func(d time.Duration) {
+	readStore := func(d time.Duration) {
 		for end := f.now.Add(d); f.now.Before(end); f.run(200 * time.Millisecond) {
 			for _, id := range f.order {
 				switch {
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	look(4 * time.Second)
+	readStore(4 * time.Second)
 	others := 0
 	for _, id := range f.watching() {
 		if !away[id] {
@@ -164,7 +164,7 @@
 	}
 	assert.Equal(t, watcherCount, others)
 	clear(away)
-	look(storeUnreachableTTL + 4*time.Second)
+	readStore(storeUnreachableTTL + 4*time.Second)
 	assert.Len(t, f.watching(), watcherCount)
 }
 
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -49,22 +49,22 @@
 	f := newFleet(t, 5, 2)
 	p := serviceID(engines)
 	ranked := f.nodes[f.order[0]].ranked(p, f.now)
-	sched, heir := f.nodes[ranked[0]], ranked[1]
-	f.cut[heir] = true
+	sched, standby := f.nodes[ranked[0]], ranked[1]
+	f.cut[standby] = true
 	f.run(5 * time.Second)
-	f.cut[heir] = false
-	f.restart(heir)
-	for f.nodes[heir].pools[p].takeover.attempts == 0 || sched.recordedUsageDue.Sub(f.now) < 100*time.Millisecond {
-		f.nodes[heir].pools[p].takeover = takeoverState{}
+	f.cut[standby] = false
+	f.restart(standby)
+	for f.nodes[standby].pools[p].takeover.attempts == 0 || sched.recordedUsageDue.Sub(f.now) < 100*time.Millisecond {
+		f.nodes[standby].pools[p].takeover = takeoverState{}
 		f.run(TickInterval)
 	}
-	f.nodes[heir].pools[p].takeover = takeoverState{}
+	f.nodes[standby].pools[p].takeover = takeoverState{}
 	sched.pools[p].meter.addRequest(7, 9000, f.now)
 	sched.pools[p].meter.addGrant(7, 9000, f.now)
 	f.run(2 * TickInterval)
-	require.True(t, f.nodes[heir].pools[p].takeover.done)
+	require.True(t, f.nodes[standby].pools[p].takeover.done)
 	f.run(recordedUsageInterval)
-	assert.InDelta(t, 9000, windowTotal(&f.nodes[heir].pools[p].meter.at(7, f.now).got), 1)
+	assert.InDelta(t, 9000, windowTotal(&f.nodes[standby].pools[p].meter.at(7, f.now).got), 1)
 }
 
 // A member of the group that does not answer is passed over for the next one, and the number of
@@ -74,23 +74,23 @@
 	p := serviceID(engines)
 	n := f.nodes[f.nodes[f.order[0]].ranked(p, f.now)[0]]
 	h := &n.pools[p].takeover
-	ask := func(ticks int) map[wire.NodeID]int {
-		asked := map[wire.NodeID]int{}
+	fetches := func(ticks int) map[wire.NodeID]int {
+		count := map[wire.NodeID]int{}
 		for range ticks {
 			f.now = f.now.Add(TickInterval)
 			n.Tick(f.now)
 			for _, o := range n.Ready(f.now) {
 				if s, ok := o.(FetchSnapshot); ok {
-					asked[s.From]++
+					count[s.From]++
 				}
 			}
 		}
-		return asked
+		return count
 	}
 	*h = takeoverState{}
-	assert.Len(t, ask(2*int(snapshotFetchInterval/TickInterval)), schedulerGroupSize-1)
+	assert.Len(t, fetches(2*int(snapshotFetchInterval/TickInterval)), schedulerGroupSize-1)
 	h.attempts = maxSnapshotFetches
-	assert.Empty(t, ask(2*int(snapshotFetchInterval/TickInterval)))
+	assert.Empty(t, fetches(2*int(snapshotFetchInterval/TickInterval)))
 }
 
 // Invalid values of a peer, and windows that are too short or too long, do no harm.
--- a/internal/lab/fair_test.go
+++ b/internal/lab/fair_test.go
@@ -35,7 +35,7 @@
 			}
 			assert.LessOrEqual(t, r.Gap, bound)
 			assert.GreaterOrEqual(t, r.Utilisation, 0.97)
-			assert.Zero(t, r.MisplacedStarts)
+			assert.Zero(t, r.Strays)
 		})
 	}
 }
@@ -45,7 +45,7 @@
 	r := runChosen(FaultKill, version.UnitTokens, 8)
 	assert.LessOrEqual(t, r.Gap, boundKill)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
-	assert.Zero(t, r.MisplacedStarts)
+	assert.Zero(t, r.Strays)
 }
 
 func TestGapIsBoundedDuringAndAfterPartition(t *testing.T) {
@@ -53,7 +53,7 @@
 	r := runChosen(FaultPartition, version.UnitTokens, 5)
 	assert.LessOrEqual(t, r.Gap, boundPartition)
 	assert.GreaterOrEqual(t, r.Utilisation, 0.97)
-	assert.Zero(t, r.MisplacedStarts)
+	assert.Zero(t, r.Strays)
 }
 
 func TestFloodDoesNotReduceOtherShares(t *testing.T) {
--- a/internal/lab/job.go
+++ b/internal/lab/job.go
@@ -40,7 +40,7 @@
 		w.ForbiddenStarts++
 	}
 	if !j.Org.Allows(u.Place) || !j.Org.Allows(j.Host.Place) {
-		w.MisplacedStarts++
+		w.Strays++
 	}
 	if w.Running[up] >= u.Slots {
 		w.queued[up] = append(w.queued[up], j)
--- a/internal/lab/safety_test.go
+++ b/internal/lab/safety_test.go
@@ -217,7 +217,7 @@
 		w.setOrganisation(o)
 	}
 	w.Run(60 * time.Second)
-	assert.Zero(t, w.MisplacedStarts)
+	assert.Zero(t, w.Strays)
 	assert.Positive(t, w.AnsweredRequests[w.Version.ByName("y").ID])
 }
 
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -73,11 +73,11 @@
 
 // Result holds the measurements of a run.
 type Result struct {
-	Gap             float64 // largest gap between backlogged organisations, in largest requests
-	Utilisation     float64 // ratio of used slots to all slots
-	Control         float64 // control bytes/s sent by a router, mean
-	Busiest         float64 // control bytes/s of the router that sent most
-	MisplacedStarts int     // starts outside the allowed places
+	Gap         float64 // largest gap between backlogged organisations, in largest requests
+	Utilisation float64 // ratio of used slots to all slots
+	Control     float64 // control bytes/s sent by a router, mean
+	Busiest     float64 // control bytes/s of the router that sent most
+	Strays      int     // starts outside the allowed places
 }
 
 // Scenario describes a run of the bench.
@@ -205,7 +205,7 @@
 
 // result returns the measurements since the counters were reset.
 func (s Scenario) result(w *World, m *Meter) Result {
-	r := Result{Gap: m.Gap, Utilisation: m.Utilisation(), MisplacedStarts: w.MisplacedStarts}
+	r := Result{Gap: m.Gap, Utilisation: m.Utilisation(), Strays: w.Strays}
 	for _, id := range w.Order {
 		rate := float64(w.SentBytes[id]) / measureDuration.Seconds()
 		r.Control += rate / Routers
--- a/internal/lab/tokens/calls.go
+++ b/internal/lab/tokens/calls.go
@@ -111,7 +111,7 @@
 	w.countStarted(c, at)
 	w.predictedMS = append(w.predictedMS, c.expectedMS)
 	took := float64(at.Sub(c.sentAt).Microseconds()) / 1000
-	w.observedMS = append(w.observedMS, took)
+	w.seenMS = append(w.seenMS, took)
 	if c.arrivedAt.Sub(startTime) > warmUpDuration+learnDuration {
 		w.ratios = append(w.ratios, took/max(1, c.expectedMS))
 	}
@@ -132,7 +132,7 @@
 	}
 	for i, q := range Quantiles {
 		w.res.Ratio[i] = quantile(w.ratios, q)
-		w.res.Predicted[i], w.res.Observed[i] = quantile(w.predictedMS, q), quantile(w.observedMS, q)
+		w.res.Predicted[i], w.res.Seen[i] = quantile(w.predictedMS, q), quantile(w.seenMS, q)
 	}
 	return w.res
 }
--- a/internal/lab/tokens/tokens.go
+++ b/internal/lab/tokens/tokens.go
@@ -77,7 +77,7 @@
 	ReadAgain                      int     // tokens of shared parts read although some engine had read them recently
 	Fetched                        int     // tokens fetched from other engines
 	Control                        float64 // control bytes/s sent by a router
-	Predicted, Observed            [3]float64
+	Predicted, Seen                [3]float64
 	Ratio                          [3]float64 // seen time over predicted time of each request, once the model has learned
 	Fair                           float64    // see fair.go: the run was fair if at least 1
 }
@@ -116,7 +116,7 @@
 	lastUsed    map[uint64]time.Time
 	res         Result
 	predictedMS []float64
-	observedMS  []float64
+	seenMS      []float64
 	ratios      []float64
 }
 
--- a/internal/lab/tokens/tokens_test.go
+++ b/internal/lab/tokens/tokens_test.go
@@ -51,7 +51,7 @@
 		assert.InDelta(t, 1, r.Ratio[0], 0.2, name)
 		assert.Less(t, r.Ratio[1], 2.5, name)
 		for i := range Quantiles {
-			assert.InDelta(t, 1, r.Predicted[i]/r.Observed[i], 0.5, "%s, quantile %v", name, Quantiles[i])
+			assert.InDelta(t, 1, r.Predicted[i]/r.Seen[i], 0.5, "%s, quantile %v", name, Quantiles[i])
 		}
 	}
 }
