--- a/internal/core/member/live.go
+++ b/internal/core/member/live.go
@@ -13,7 +13,7 @@
 //
 // The list is cached and patched with the routers whose state has changed since. Load pattern:
 // hundreds of routers start together, and each learns of the others one by one. Building and
-// sorting the whole list for each of them took half of the processor time.
+// sorting the whole list for each of them took half of the CPU time.
 func (t *Table) Live(leaving bool) []wire.NodeID {
 	l := &t.live[0]
 	if leaving {
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -98,16 +98,19 @@
 	Woke, Stale, SameRevision, Takeovers uint64
 }
 
+// hostedPool is a pool of which this node is the scheduler.
 type hostedPool struct {
 	*sched.Pool
 	lastReport time.Time
 }
 
+// pendingProposal is a request that waits for the votes of its key's witnesses.
 type pendingProposal struct {
 	proposal *claim.Proposal
 	req      entry.Request
 }
 
+// drain is what is known of an upstream that is leaving.
 type drain struct {
 	learnedAt  time.Time // when this node first learned of it
 	renewedAt  time.Time
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -32,7 +32,7 @@
 func TestRouterRequestsMissingPlaceOfPeer(t *testing.T) {
 	a, b := newNode("10.0.0.1:1"), newNode("10.0.0.2:1")
 	b.Ready(t0)
-	for i := range 40 { // b has sent its own update as often as it does unasked
+	for i := range 40 { // b has sent its own update as often as it does without a request
 		b.Step(Receive{&wire.Datagram{From: "10.0.0.3:1", Inc: 1, Ping: &wire.Ping{Seq: uint32(i)}}}, t0)
 		b.Ready(t0)
 	}
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,6 +1,6 @@
 // Package quarantine records which requests were running at upstreams that crashed, and decides
-// which of them are held back to protect the other requests. While a request is held, the
-// request path does not send it to an upstream.
+// which of them are held back to protect the other requests. A request that is
+// held here is called quarantined in the request path, which sends it to no further upstream.
 //
 // Load pattern: a request crashes each upstream that begins to run it, and comes again at any
 // router. Every request that runs beside it is suspected with it: tens of sound requests for
--- a/internal/core/wire/dispatch.go
+++ b/internal/core/wire/dispatch.go
@@ -6,7 +6,7 @@
 // 32-bit IDs and prompt parts as 64-bit hashes; no content is sent.
 type Dispatch struct {
 	Heartbeat         uint32             `cbor:"1,keyasint,omitempty"` // number of this heartbeat
-	Revision          uint64             `cbor:"2,keyasint,omitempty"` // of the last change of the store's content that the sender knows
+	Revision          uint64             `cbor:"2,keyasint,omitempty"` // up to which the sender knows all changes of the store's content, 0 without a table
 	PlacementRequests []PlacementRequest `cbor:"3,keyasint,omitempty"`
 	PlacementReplies  []PlacementReply   `cbor:"4,keyasint,omitempty"`
 	ProgressNotes     []ProgressNote     `cbor:"5,keyasint,omitempty"`
@@ -61,8 +61,8 @@
 }
 
 // LocalUsage is usage of one organisation that is known to the sender alone. As a local
-// decision it is work that the sender refused for want of CPU, or placed because the scheduler
-// did not answer; as recorded usage it is what the sender decided as scheduler. Both numbers
+// decision it is work that the sender shed because it was overloaded, or decided on because the
+// scheduler did not reply in time; as recorded usage it is what the sender decided as scheduler. Both numbers
 // are in tokens as shares are counted. Placed is negative when more work was undone than was
 // placed since the last message.
 type LocalUsage struct {
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -37,9 +37,9 @@
 	// the engine and makes organisations under their shares late.
 	maxBusyRatio = 0.9
 	minBusyRatio = 0.5
-	// maxReportedOver bounds the use of a share, as a ratio, that is reported for an
+	// maxReportedUsedShare bounds the use of a share, as a ratio, that is reported for an
 	// organisation.
-	maxReportedOver = 1000
+	maxReportedUsedShare = 1000
 )
 
 // decision is the outcome of one placement request.
@@ -50,7 +50,7 @@
 	bestWaitMS float64 // of a refusal: expected at the best upstream
 	limitMS    float64 // of a refusal: the longest wait allowed
 	ownMS      float64 // of a refusal: expected time to the first event beyond the wait
-	over       uint32  // percentage of its share that the organisation has used
+	usedShare  uint32  // percentage of its share that the organisation has used
 }
 
 // decide places a request or refuses it.
@@ -59,41 +59,41 @@
 	if a.Try <= 1 {
 		p.meter.addRequest(a.Org, tokens, now)
 	}
-	over := p.meter.over(a.Org, now)
-	reportedOver := overPercent(over)
+	usedShare := p.meter.usedShare(a.Org, now)
+	usedPercent := usedSharePercent(usedShare)
 	best := p.choose(from, a, now)
 	if best == nil {
 		reason := p.noUpstreamReason(a, now)
-		return decision{retryAfter: p.noUpstreamRetryAfter(a, reason, now), reason: reason, over: reportedOver}
+		return decision{retryAfter: p.noUpstreamRetryAfter(a, reason, now), reason: reason, usedShare: usedPercent}
 	}
 	c := best.best(p.requestTargetMS(a))
 	if p.engine != nil {
-		reason, limitMS := p.refusalReason(a, c, over, now)
+		reason, limitMS := p.refusalReason(a, c, usedShare, now)
 		if reason != ReasonNone && c.up != best.cheapest.up {
 			c = &best.cheapest
-			reason, limitMS = p.refusalReason(a, c, over, now)
+			reason, limitMS = p.refusalReason(a, c, usedShare, now)
 		}
 		if reason != ReasonNone && p.mayRefuse(a) {
-			if reason == ReasonCapacity && over < 1 {
+			if reason == ReasonCapacity && usedShare < 1 {
 				p.meter.addRefusal(a.Org, tokens, now)
 			}
-			return decision{retryAfter: p.backlogRetryAfter(a, c.waitMS, limitMS), reason: reason, bestWaitMS: c.waitMS, limitMS: limitMS, ownMS: p.learner.Model().Base + c.ownMS, over: reportedOver}
+			return decision{retryAfter: p.backlogRetryAfter(a, c.waitMS, limitMS), reason: reason, bestWaitMS: c.waitMS, limitMS: limitMS, ownMS: p.learner.Model().Base + c.ownMS, usedShare: usedPercent}
 		}
 		p.meter.addGrant(a.Org, tokens, now)
 		p.busy.add(c.ownMS, now)
 	}
 	p.startRun(from, a, c, tokens, now)
-	return decision{choice: c, over: reportedOver}
+	return decision{choice: c, usedShare: usedPercent}
 }
 
 // refusalReason returns why a request should not be placed, or ReasonNone, and how long it
 // may wait there, in milliseconds.
-func (p *pool) refusalReason(a *wire.PlacementRequest, c *choice, over float64, now time.Time) (Reason, float64) {
-	limitMS := p.waitLimit(a, c, over)
+func (p *pool) refusalReason(a *wire.PlacementRequest, c *choice, usedShare float64, now time.Time) (Reason, float64) {
+	limitMS := p.waitLimit(a, c, usedShare)
 	switch {
-	case p.countedWaitMS(c, over) > limitMS:
+	case p.countedWaitMS(c, usedShare) > limitMS:
 		return ReasonCapacity, limitMS
-	case p.enginesTooBusy(over, now) || p.mustYield(a.Org, over, now):
+	case p.enginesTooBusy(usedShare, now) || p.mustYield(a.Org, usedShare, now):
 		return ReasonShare, limitMS
 	}
 	return ReasonNone, limitMS
@@ -102,8 +102,8 @@
 // countedWaitMS is the wait that counts against the limit. For an organisation over its
 // share it includes the other costs of the upstream, but an engine with nothing to read
 // before it accepts everyone.
-func (p *pool) countedWaitMS(c *choice, over float64) float64 {
-	if over >= 1 && c.waitMS > 0 {
+func (p *pool) countedWaitMS(c *choice, usedShare float64) float64 {
+	if usedShare >= 1 && c.waitMS > 0 {
 		return c.waitMS + overSharePenaltyFactor*c.penaltyMS
 	}
 	return c.waitMS
@@ -114,16 +114,16 @@
 //
 // Load pattern: organisations send several times their shares while others, at or below
 // their shares, have streams at the same engines.
-func (p *pool) enginesTooBusy(over float64, now time.Time) bool {
-	return over >= 1 && !p.disabled.Shares && p.busy.ratio(p.open(now), now) > max(minBusyRatio, maxBusyRatio/math.Sqrt(over))
+func (p *pool) enginesTooBusy(usedShare float64, now time.Time) bool {
+	return usedShare >= 1 && !p.disabled.Shares && p.busy.ratio(p.open(now), now) > max(minBusyRatio, maxBusyRatio/math.Sqrt(usedShare))
 }
 
 // mustYield reports whether an organisation has to let others go first.
-func (p *pool) mustYield(org version.ID, over float64, now time.Time) bool {
+func (p *pool) mustYield(org version.ID, usedShare float64, now time.Time) bool {
 	switch {
-	case p.disabled.Shares || over < minYieldOver:
+	case p.disabled.Shares || usedShare < minYieldUsedShare:
 		return false
-	case over < 1:
+	case usedShare < 1:
 		return p.meter.aboveGrantedShare(org, now)
 	}
 	return p.meter.mustYield(org, now)
@@ -176,13 +176,13 @@
 }
 
 // waitLimit is how long a request may wait behind others at an engine, in milliseconds.
-// over is the use of its organisation's share (see meter.over).
-func (p *pool) waitLimit(a *wire.PlacementRequest, c *choice, over float64) float64 {
+// usedShare is the use of its organisation's share (see meter.usedShare).
+func (p *pool) waitLimit(a *wire.PlacementRequest, c *choice, usedShare float64) float64 {
 	targetMS := p.requestTargetMS(a)
 	ratio := maxWaitRatio
 	urgency := math.Pow(priorityRankWaitFactor, float64(p.urgency.rank(int(a.Priority))))
 	if !p.disabled.Shares {
-		ratio = waitRatio(over)
+		ratio = waitRatio(usedShare)
 	}
 	roomMS := targetMS - p.learner.Model().Base - c.ownMS
 	if c.ownMS > maxOwnTimeRatio*targetMS {
@@ -199,11 +199,11 @@
 // Load pattern: engines serve less than the stated capacity. With one limit for all
 // organisations under their shares, a flood kept every wait at that limit, and the requests
 // accepted there were answered late.
-func waitRatio(over float64) float64 {
-	if over >= 1 {
-		return maxWaitRatioAtShare / over
+func waitRatio(usedShare float64) float64 {
+	if usedShare >= 1 {
+		return maxWaitRatioAtShare / usedShare
 	}
-	return maxWaitRatio + over*(maxWaitRatioAtShare-maxWaitRatio)
+	return maxWaitRatio + usedShare*(maxWaitRatioAtShare-maxWaitRatio)
 }
 
 func (p *pool) noUpstreamReason(a *wire.PlacementRequest, now time.Time) Reason {
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -69,11 +69,11 @@
 	m.addGrant(1, 500, start)
 	m.addGrant(2, 1750, start)
 	m.addGrant(3, 3500, start)
-	assert.LessOrEqual(t, m.over(1, start), 1.0)
-	assert.InDelta(t, 1.0, m.over(2, start), 0.001)
-	assert.InDelta(t, 2.0, m.over(3, start), 0.001)
+	assert.LessOrEqual(t, m.usedShare(1, start), 1.0)
+	assert.InDelta(t, 1.0, m.usedShare(2, start), 0.001)
+	assert.InDelta(t, 2.0, m.usedShare(3, start), 0.001)
 	later := start.Add(5 * time.Second)
-	assert.Zero(t, m.over(3, later), "the window is over")
+	assert.Zero(t, m.usedShare(3, later), "the window is over")
 }
 
 // A long wait accepted for a route with a lenient target would delay requests of routes
@@ -123,7 +123,7 @@
 	for _, got := range []int{300, 800, 1600, 3200} {
 		p.meter.usageOf(1).got = [shareSteps]float64{}
 		p.meter.addGrant(1, float64(got), start)
-		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.over(1, start))
+		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.usedShare(1, start))
 	}
 	assert.Greater(t, limits[300], limits[800])
 	assert.Greater(t, limits[800], 1.5*limits[1600])
@@ -166,7 +166,7 @@
 	p.meter.addRequest(version.IDOf("other"), 390_000*4, f.now)
 	p.meter.addRequest(version.IDOf("flood"), 390_000*40, f.now)
 	p.meter.addGrant(version.IDOf("flood"), 390_000*20, f.now)
-	require.Greater(t, p.meter.over(version.IDOf("flood"), f.now), 5.0)
+	require.Greater(t, p.meter.usedShare(version.IDOf("flood"), f.now), 5.0)
 	f.nodes[id].place = version.IDOf("elsewhere") // where the router keeps no connection either
 	f.arrive(id, 1, engines, "flood", 3000)
 	f.placed(id, 1)
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -32,7 +32,7 @@
 	p.meter.addRequest(version.IDOf("other"), 390_000*4, f.now)
 	p.meter.addRequest(flood, 390_000*40, f.now)
 	p.meter.addGrant(flood, 390_000*20, f.now)
-	require.Greater(t, p.meter.over(flood, f.now), 5.0)
+	require.Greater(t, p.meter.usedShare(flood, f.now), 5.0)
 	no := uint64(0)
 	read := func(org string) bool {
 		no++
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -342,7 +342,7 @@
 	}
 	p := n.pools[serviceID(engines)]
 	require.NotNil(t, p)
-	assert.Zero(t, p.meter.over(version.IDOf("alpha"), f.now), "work that never started does not count as granted")
+	assert.Zero(t, p.meter.usedShare(version.IDOf("alpha"), f.now), "work that never started does not count as granted")
 	assert.Zero(t, n.budget(p.id).recentRepeats(f.now), "retries by the caller are not repeats of the fleet")
 }
 
--- a/internal/dispatch/inflight.go
+++ b/internal/dispatch/inflight.go
@@ -156,7 +156,7 @@
 func (n *Node) refuse(f *inflightRequest, v decision, by wire.NodeID) {
 	delete(n.inflight, f.req.ID)
 	n.Counts.Refused++
-	n.out = append(n.out, Refuse{ID: f.req.ID, Reason: v.reason, After: v.retryAfter, By: by, WaitMS: int(v.bestWaitMS), LimitMS: int(v.limitMS), PrefillMS: int(v.ownMS), Over: v.over, Revision: n.catalogue.Revision})
+	n.out = append(n.out, Refuse{ID: f.req.ID, Reason: v.reason, After: v.retryAfter, By: by, WaitMS: int(v.bestWaitMS), LimitMS: int(v.limitMS), PrefillMS: int(v.ownMS), SharePercent: v.usedShare, Revision: n.catalogue.Revision})
 }
 
 // unplacedRequests returns the requests without an upstream in the order of their arrival,
@@ -189,8 +189,8 @@
 }
 
 // decideWithoutScheduler makes a local decision for a request whose scheduler has not
-// replied. A router that was heard from since the placement request is slow, not gone, and
-// remains the scheduler.
+// replied. A router that has sent a datagram since the placement request is slow, not gone,
+// and remains the scheduler.
 func (n *Node) decideWithoutScheduler(f *inflightRequest, now time.Time) {
 	n.Counts.OwnDecision++
 	n.timedOutRequests[f.req.ID] = timedOutRequest{f.try, f.requestedAt}
@@ -204,9 +204,9 @@
 	}
 	f.try++ // a reply that still arrives belongs to an earlier attempt
 	org := version.IDOf(f.req.Org)
-	if over := n.localOver(p, org, now); over >= 1 && len(f.avoid) == 0 && p.engine != nil {
+	if usedShare := n.localUsedShare(p, org, now); usedShare >= 1 && len(f.avoid) == 0 && p.engine != nil {
 		n.reports.addDecision(serviceOrg{p.id, org}, 0, false)
-		n.refuse(f, decision{reason: ReasonCapacity, retryAfter: minRetryAfter, over: overPercent(over)}, n.settings.ID)
+		n.refuse(f, decision{reason: ReasonCapacity, retryAfter: minRetryAfter, usedShare: usedSharePercent(usedShare)}, n.settings.ID)
 		return
 	}
 	n.decideLocally(f, p, now)
--- a/internal/dispatch/io.go
+++ b/internal/dispatch/io.go
@@ -231,11 +231,11 @@
 	After  time.Duration // when the caller should retry
 	By     wire.NodeID
 
-	WaitMS    int    // expected wait behind other requests at the best upstream
-	LimitMS   int    // allowed wait
-	PrefillMS int    // expected time from the end of the wait to the first event
-	Over      uint32 // used part of the organisation's share, in hundredths
-	Revision  uint64 // of the store's content it was decided on here
+	WaitMS       int    // expected wait behind other requests at the best upstream
+	LimitMS      int    // allowed wait
+	PrefillMS    int    // expected time from the end of the wait to the first event
+	SharePercent uint32 // used part of the organisation's share, in per cent
+	Revision     uint64 // of the store's content it was decided on here
 }
 
 // FetchContent asks the driver to fetch the store's content from a peer that has more of it.
--- a/internal/dispatch/learnedmodel_test.go
+++ b/internal/dispatch/learnedmodel_test.go
@@ -65,7 +65,7 @@
 		f.placed(id, no)
 	}
 	p := f.nodes[id].pools[serviceID(engines)]
-	assert.Zero(t, p.meter.over(version.IDOf("a"), f.now))
+	assert.Zero(t, p.meter.usedShare(version.IDOf("a"), f.now))
 	f.nodes[id].Step(Arrive{Request: Request{ID: 50, Service: engines, Org: "a", Input: 1 << 30, Output: 1 << 30, Deadline: f.now}}, f.now)
 	f.deliver()
 	_, refused := f.got[id][50].(Refuse)
--- a/internal/dispatch/leastserved_test.go
+++ b/internal/dispatch/leastserved_test.go
@@ -103,12 +103,12 @@
 		m.addGrant(small, 0.3*m.capacity/2/shareSteps, f.now)
 		m.addGrant(flood, 0.9*m.capacity/2/shareSteps, f.now)
 	}
-	over := m.over(flood, f.now)
-	assert.InDelta(t, 0.9, over, 0.01)
-	assert.False(t, p.mustYield(flood, over, f.now), "it is under its share")
+	usedShare := m.usedShare(flood, f.now)
+	assert.InDelta(t, 0.9, usedShare, 0.01)
+	assert.False(t, p.mustYield(flood, usedShare, f.now), "it is under its share")
 	m.addRefusal(small, m.capacity, f.now)
 	f.run(shareStep)
-	assert.True(t, p.mustYield(flood, over, f.now))
-	assert.False(t, p.mustYield(small, m.over(small, f.now), f.now))
+	assert.True(t, p.mustYield(flood, usedShare, f.now))
+	assert.False(t, p.mustYield(small, m.usedShare(small, f.now), f.now))
 	assert.False(t, p.mustYield(flood, 0.2, f.now), "an organisation that has used little of its share is never held back")
 }
--- a/internal/dispatch/localdecision_test.go
+++ b/internal/dispatch/localdecision_test.go
@@ -19,10 +19,10 @@
 	const window = 390_000 * 4
 	p.meter.addRequest(2, window, f.now) // another organisation requests the whole capacity
 	p.meter.addGrant(2, window, f.now)
-	assert.InDelta(t, 1, p.meter.over(2, f.now), 0.01)
+	assert.InDelta(t, 1, p.meter.usedShare(2, f.now), 0.01)
 	f.nodes[f.other()].Step(LoadShed{Work: []ShedWork{{Service: engines, Org: "shed", Tokens: window}}}, f.now)
 	f.run(2 * localUsageInterval)
-	assert.InDelta(t, 2, p.meter.over(2, f.now), 0.1, "half of the capacity is the other organisation's share")
+	assert.InDelta(t, 2, p.meter.usedShare(2, f.now), 0.1, "half of the capacity is the other organisation's share")
 	f.nodes[f.other()].Step(LoadShed{Work: []ShedWork{{Service: counter, Org: "shed", Tokens: 1}, {Service: "unknown", Org: "shed", Tokens: 1}}}, f.now)
 	f.run(2 * localUsageInterval) // plain and unknown services have no shares
 }
@@ -50,7 +50,7 @@
 	assert.Equal(t, ReasonCapacity, r.Reason)
 	assert.Positive(t, r.After)
 	assert.Equal(t, id, f.placed(id, 3).By, "an organisation under its share is served")
-	f.run(overTTL)
+	f.run(overShareTTL)
 	f.arrive(id, 4, engines, "flood", 4000)
 	f.run(minPlacementTimeout + 3*TickInterval)
 	f.placed(id, 4) // the share update has expired
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -103,9 +103,9 @@
 // instead placed 428 requests of its flood in a second, of which few were started.
 func (n *Node) decideFor(from wire.NodeID, p *pool, a *wire.PlacementRequest, now time.Time) (v decision, reported bool) {
 	standIn := p.engine != nil && n.schedulerOf(p.id, now) != n.settings.ID
-	if over := p.meter.over(a.Org, now); standIn && over >= 1 && p.mayRefuse(a) {
+	if usedShare := p.meter.usedShare(a.Org, now); standIn && usedShare >= 1 && p.mayRefuse(a) {
 		n.countLocalDecision(p, a, false, now)
-		return decision{reason: ReasonShare, retryAfter: minRetryAfter, over: overPercent(over)}, true
+		return decision{reason: ReasonShare, retryAfter: minRetryAfter, usedShare: usedSharePercent(usedShare)}, true
 	}
 	n.prepareColdDecision(p, now)
 	v = p.decide(from, a, now)
@@ -136,11 +136,11 @@
 	v, reported := n.decideFor(from, p, a, now)
 	if v.choice == nil {
 		w.PlacementReplies = append(w.PlacementReplies, wire.PlacementReply{No: a.No, Try: a.Try, RetryAfterMS: uint32(v.retryAfter.Milliseconds()), ReasonCode: uint8(v.reason),
-			WaitMS: uint32(v.bestWaitMS), WaitLimitMS: uint32(v.limitMS), PrefillMS: uint32(v.ownMS), SharePercent: v.over})
+			WaitMS: uint32(v.bestWaitMS), WaitLimitMS: uint32(v.limitMS), PrefillMS: uint32(v.ownMS), SharePercent: v.usedShare})
 		return
 	}
 	e := p.expectation(v.choice, now)
-	ans := wire.PlacementReply{No: a.No, Try: a.Try, Upstream: v.choice.up.id, PrefillTokens: uint32(e.work), WaitMS: uint32(e.waitMS), PrefillMS: uint32(e.ownMS), SharePercent: v.over, Cold: e.cold, CheckHealth: e.needsHealthCheck}
+	ans := wire.PlacementReply{No: a.No, Try: a.Try, Upstream: v.choice.up.id, PrefillTokens: uint32(e.work), WaitMS: uint32(e.waitMS), PrefillMS: uint32(e.ownMS), SharePercent: v.usedShare, Cold: e.cold, CheckHealth: e.needsHealthCheck}
 	if v.choice.source != nil {
 		ans.CacheSource = v.choice.source.id
 	}
@@ -162,7 +162,7 @@
 		return
 	}
 	if a.Upstream == 0 {
-		n.refuse(f, decision{reason: Reason(a.ReasonCode), retryAfter: time.Duration(a.RetryAfterMS) * time.Millisecond, bestWaitMS: float64(a.WaitMS), limitMS: float64(a.WaitLimitMS), ownMS: float64(a.PrefillMS), over: a.SharePercent}, from)
+		n.refuse(f, decision{reason: Reason(a.ReasonCode), retryAfter: time.Duration(a.RetryAfterMS) * time.Millisecond, bestWaitMS: float64(a.WaitMS), limitMS: float64(a.WaitLimitMS), ownMS: float64(a.PrefillMS), usedShare: a.SharePercent}, from)
 		return
 	}
 	p, regions := n.pools[f.service], regionIDs(f.req.Regions)
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -158,7 +158,7 @@
 		}
 	}
 	slices.SortFunc(orgs, func(a, b version.ID) int {
-		return cmp.Or(cmp.Compare(p.meter.over(b, now), p.meter.over(a, now)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(p.meter.usedShare(b, now), p.meter.usedShare(a, now)), cmp.Compare(a, b))
 	})
 	for i, id := range orgs {
 		if i >= maxReportedOrgs && i < len(orgs)-maxReportedOrgs {
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -131,10 +131,10 @@
 	}
 }
 
-// over returns how much of its share an organisation has used: the tokens granted to it as
+// usedShare returns how much of its share an organisation has used: the tokens granted to it as
 // a ratio of its max-min share of the capacity. Below 1 it is under its share, from 1 on it
 // is over.
-func (m *meter) over(org version.ID, now time.Time) float64 {
+func (m *meter) usedShare(org version.ID, now time.Time) float64 {
 	m.updateShares(now)
 	share := m.shares[org]
 	if share <= 0 {
--- a/internal/dispatch/sharecoverage.go
+++ b/internal/dispatch/sharecoverage.go
@@ -56,7 +56,7 @@
 // coverageFromUpdate is the ratio that the share covers, by the scheduler's latest update.
 func (n *Node) coverageFromUpdate(p *pool, org version.ID, now time.Time) float64 {
 	w := n.shareUpdates.received[serviceOrg{p.id, org}]
-	if w.at.IsZero() || n.localOver(p, org, now) < 1 {
+	if w.at.IsZero() || n.localUsedShare(p, org, now) < 1 {
 		return 1
 	}
 	return coverageFactor * float64(w.Share) / max(1, float64(w.Requested))
--- a/internal/dispatch/shareupdate.go
+++ b/internal/dispatch/shareupdate.go
@@ -22,9 +22,9 @@
 	// organisation. Together with the delay of an overloaded router it is still a small
 	// fraction of the window.
 	shareUpdateInterval = 100 * time.Millisecond
-	// overTTL is how long an update that an organisation has used up its share is valid by
+	// overShareTTL is how long an update that an organisation has used up its share is valid by
 	// itself: half of the window in which shares are counted.
-	overTTL = shareSteps * shareStep / 2
+	overShareTTL = shareSteps * shareStep / 2
 	// shareUpdateTTL is how long a reported share is remembered. Shares change with the
 	// demand of all other organisations, but an old share is still a better estimate than
 	// an even one.
@@ -71,19 +71,21 @@
 		return
 	}
 	n.shareUpdates.sent[k] = now
-	over := p.meter.over(org, now)
+	usedShare := p.meter.usedShare(org, now)
 	w := n.work(to)
 	w.ShareUpdates = append(w.ShareUpdates, wire.ShareUpdate{
 		Service:      p.id,
 		Org:          org,
-		SharePercent: overPercent(over),
+		SharePercent: usedSharePercent(usedShare),
 		Share:        uint32(p.meter.shares[org]),
 		Requested:    uint32(windowTotal(&p.meter.usageOf(org).requested)),
 	})
 }
 
-// overPercent is the use of a share as it is reported, in per cent.
-func overPercent(over float64) uint32 { return uint32(100 * min(over, maxReportedOver)) }
+// usedSharePercent is the use of a share as it is reported, in per cent.
+func usedSharePercent(usedShare float64) uint32 {
+	return uint32(100 * min(usedShare, maxReportedUsedShare))
+}
 
 // handleShareUpdates keeps the scheduler's updates, including those that come with replies
 // that are too late.
@@ -107,18 +109,18 @@
 	}
 }
 
-// localOver is how much of its share an organisation has used, for a decision without the
+// localUsedShare is how much of its share an organisation has used, for a decision without the
 // scheduler: the larger of the scheduler's latest value, while that is fresh, and of what
 // was placed here in the window as a ratio of the local allowance.
-func (n *Node) localOver(p *pool, org version.ID, now time.Time) float64 {
-	over := 0.0
+func (n *Node) localUsedShare(p *pool, org version.ID, now time.Time) float64 {
+	usedShare := 0.0
 	if allowed := n.localAllowance(p, org, now); allowed > 0 {
-		over = windowTotal(&p.local.at(org, now).got) / allowed
+		usedShare = windowTotal(&p.local.at(org, now).got) / allowed
 	}
-	if w := n.shareUpdates.received[serviceOrg{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < overTTL {
-		over = max(over, float64(w.SharePercent)/100)
+	if w := n.shareUpdates.received[serviceOrg{p.id, org}]; !w.at.IsZero() && now.Sub(w.at) < overShareTTL {
+		usedShare = max(usedShare, float64(w.SharePercent)/100)
 	}
-	return over
+	return usedShare
 }
 
 // localAllowance is how many tokens of an organisation this router may place in a window
--- a/internal/dispatch/shareupdate_test.go
+++ b/internal/dispatch/shareupdate_test.go
@@ -53,7 +53,7 @@
 func TestIsolatedRouterPlacesItsFractionOfTheShare(t *testing.T) {
 	f, id := newFloodedFleet(t)
 	f.cut[id] = true
-	f.run(overTTL)
+	f.run(overShareTTL)
 	share := float64(f.nodes[id].shareUpdates.received[serviceOrg{serviceID(engines), version.IDOf("flood")}].Share)
 	placed := f.sendFlood(id, 10, 4*time.Second)
 	assert.Less(t, placed, 1.2*share)
@@ -94,9 +94,9 @@
 		PlacementReplies: []wire.PlacementReply{{No: 99, Try: 1, Upstream: version.IDOf("e0")}},
 		ShareUpdates:     []wire.ShareUpdate{{Service: serviceID(engines), Org: 7, SharePercent: 250, Share: 1000, Requested: 5000}},
 	}}}, f.now)
-	assert.InDelta(t, 2.5, n.localOver(n.pools[serviceID(engines)], 7, f.now), 0.01)
-	f.now = f.now.Add(overTTL)
-	assert.Zero(t, n.localOver(n.pools[serviceID(engines)], 7, f.now))
+	assert.InDelta(t, 2.5, n.localUsedShare(n.pools[serviceID(engines)], 7, f.now), 0.01)
+	f.now = f.now.Add(overShareTTL)
+	assert.Zero(t, n.localUsedShare(n.pools[serviceID(engines)], 7, f.now))
 	f.run(shareUpdateTTL)
 	assert.Empty(t, n.shareUpdates.received, "expired updates are removed")
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -37,7 +37,7 @@
 	}
 	f.run(2 * TickInterval)
 	got := f.nodes[first].pools[p]
-	assert.Greater(t, got.meter.over(flood, f.now), 1.0)
+	assert.Greater(t, got.meter.usedShare(flood, f.now), 1.0)
 	assert.InDelta(t, windowTotal(&next.pools[p].meter.at(flood, f.now).got), windowTotal(&got.meter.at(flood, f.now).got), 1)
 	assert.Equal(t, 3000, cachedTokensOf(got.upstreams[u.id].cache, []wire.PromptPart{part}))
 	f.run(2 * recordedUsageInterval)
--- a/internal/dispatch/undercapacity.go
+++ b/internal/dispatch/undercapacity.go
@@ -23,10 +23,10 @@
 	// have used before others go first. Nobody is held back where all have been granted
 	// about the same.
 	maxGrantedRatio = 1.25
-	// minYieldOver is the use of its share below which an organisation is never held back:
+	// minYieldUsedShare is the use of its share below which an organisation is never held back:
 	// after an outage, the first to be served has used more than its share of next to
 	// nothing.
-	minYieldOver = 0.25
+	minYieldUsedShare = 0.25
 )
 
 // updateGrantedShares divides what was granted in the window while engines serve less than
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -37,7 +37,7 @@
 	Router   Router
 	Up       bool
 	Frozen   bool
-	Since    time.Time
+	Since    time.Time // when it was booted
 	jobs     map[uint64]*Job
 	nextID   uint64
 	deferred []func() // inputs that arrived while the host is frozen
--- a/internal/request/forward/counters.go
+++ b/internal/request/forward/counters.go
@@ -43,7 +43,7 @@
 		e.AnErr("cause", f.err)
 	}
 	if d := f.refusal; d != nil {
-		e.Str("by", string(d.By)).Int("wait_ms", d.WaitMS).Int("limit_ms", d.LimitMS).Int("own_ms", d.PrefillMS).Uint32("share_percent", d.Over).Uint64("revision", d.Revision)
+		e.Str("by", string(d.By)).Int("wait_ms", d.WaitMS).Int("limit_ms", d.LimitMS).Int("own_ms", d.PrefillMS).Uint32("share_percent", d.SharePercent).Uint64("revision", d.Revision)
 	}
 	if f.crashes > 0 {
 		e.Stringer("fingerprint", v.fingerprint()).Int("crashes", f.crashes)
