--- a/cmd/silverswitchd/main.go
+++ b/cmd/silverswitchd/main.go
@@ -83,7 +83,7 @@
 // daemon is a router of the application interface or of the routed interface.
 type daemon interface {
 	Shutdown(context.Context) int
-	Open(time.Duration) int
+	OpenRequests(time.Duration) int
 	Reload(process.Settings)
 }
 
@@ -124,7 +124,7 @@
 		}
 		return exitOK
 	case <-signals:
-		log.Warn().Int("requests", d.Open(time.Second)).Msg("ended-at-once")
+		log.Warn().Int("requests", d.OpenRequests(time.Second)).Msg("ended-at-once")
 		return exitRequestsCut
 	}
 }
--- a/internal/process/acceptdelay_test.go
+++ b/internal/process/acceptdelay_test.go
@@ -35,7 +35,7 @@
 }
 
 // Waiting reports an unread datagram without consuming it.
-func TestWaitingReportsUnreadDatagram(t *testing.T) {
+func TestHasUnreadReportsUnreadDatagram(t *testing.T) {
 	s, err := conn.NewSealer("a-secret-for-tests-only", "route")
 	require.NoError(t, err)
 	a, b := standin.FreeAddr(), standin.FreeAddr()
--- a/internal/process/app_e2e_test.go
+++ b/internal/process/app_e2e_test.go
@@ -492,7 +492,7 @@
 	require.NoError(t, err)
 	stop()
 	res.Body.Close()
-	assert.Eventually(t, func() bool { return f.daemons[0].Open(time.Second) == 0 }, 5*time.Second, 20*time.Millisecond)
+	assert.Eventually(t, func() bool { return f.daemons[0].OpenRequests(time.Second) == 0 }, 5*time.Second, 20*time.Millisecond)
 }
 
 func TestModelsListsTheOrganisationsApplications(t *testing.T) {
--- a/internal/process/appcontroller.go
+++ b/internal/process/appcontroller.go
@@ -25,13 +25,13 @@
 // control goroutine accesses it; all other goroutines use the methods of AppController,
 // which queue work for it or read published copies. It implements request.Control.
 type AppController struct {
-	id     wire.NodeID
-	node   *core.Node // control goroutine only
-	place  string
-	route  *conn.PeerSocket
-	sealer *conn.Sealer
-	log    zerolog.Logger
-	nextID atomic.Uint64
+	id         wire.NodeID
+	node       *core.Node // control goroutine only
+	place      string
+	peerSocket *conn.PeerSocket
+	sealer     *conn.Sealer
+	log        zerolog.Logger
+	nextID     atomic.Uint64
 	controlLoop
 
 	version     atomic.Pointer[version.Version]
@@ -53,13 +53,13 @@
 func NewAppController(set core.Settings, route *conn.PeerSocket, sealer *conn.Sealer, log zerolog.Logger) *AppController {
 	now := clock.System.Now()
 	ac := &AppController{
-		id:      set.ID,
-		node:    core.New(set, now),
-		place:   set.Place,
-		route:   route,
-		sealer:  sealer,
-		log:     log,
-		tickets: map[uint64]*ticketState{},
+		id:         set.ID,
+		node:       core.New(set, now),
+		place:      set.Place,
+		peerSocket: route,
+		sealer:     sealer,
+		log:        log,
+		tickets:    map[uint64]*ticketState{},
 
 		controlLoop: newControlLoop(now),
 	}
@@ -98,7 +98,7 @@
 	for _, o := range outs {
 		switch o := o.(type) {
 		case core.Send:
-			ac.route.Send(o.To, o.Datagram)
+			ac.peerSocket.Send(o.To, o.Datagram)
 		case core.Start:
 			ac.startRequest(o)
 		case core.Refuse:
--- a/internal/process/appdaemon.go
+++ b/internal/process/appdaemon.go
@@ -24,17 +24,17 @@
 
 // AppDaemon is a router process that serves the application interface.
 type AppDaemon struct {
-	set         Settings
-	log         zerolog.Logger
-	ctrl        *AppController
-	route       *conn.PeerSocket
-	fetchServer *conn.FetchServer
-	upstreams   *conn.Upstreams
-	callers     *http.Server
-	operator    *http.Server
-	flush       func(context.Context) error
-	leaving     atomic.Bool
-	stop        context.CancelFunc
+	set             Settings
+	log             zerolog.Logger
+	ctrl            *AppController
+	peerSocket      *conn.PeerSocket
+	fetchServer     *conn.FetchServer
+	upstreams       *conn.Upstreams
+	callers         *http.Server
+	operator        *http.Server
+	shutdownTracing func(context.Context) error
+	leaving         atomic.Bool
+	stop            context.CancelFunc
 }
 
 // StartApp opens all listeners and starts serving. On error it closes whatever it has
@@ -47,15 +47,15 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	d := &AppDaemon{set: set, log: log, stop: stop, upstreams: conn.NewUpstreams(conn.DefaultLimits)}
-	if d.flush, err = startTracing(ctx, set); err != nil {
+	if d.shutdownTracing, err = startTracing(ctx, set); err != nil {
 		stop()
 		return nil, err
 	}
-	if d.route, err = conn.Listen(set.Peer, sealer, reg); err != nil {
+	if d.peerSocket, err = conn.Listen(set.Peer, sealer, reg); err != nil {
 		d.close()
 		return nil, err
 	}
-	d.ctrl = NewAppController(d.coreSettings(), d.route, sealer, log)
+	d.ctrl = NewAppController(d.coreSettings(), d.peerSocket, sealer, log)
 	if d.fetchServer, err = conn.ServeFetch(set.Peer, sealer, conn.Handlers{conn.MethodVersion: func(conn.Query) []byte { return d.packedVersion() }}); err != nil {
 		d.close()
 		return nil, err
@@ -160,7 +160,7 @@
 func (d *AppDaemon) receive() {
 	buf := make([]byte, 64<<10)
 	for {
-		m, err := d.route.Receive(buf)
+		m, err := d.peerSocket.Receive(buf)
 		if err != nil {
 			return
 		}
@@ -181,9 +181,9 @@
 		defer stop()
 	}
 	if err := d.callers.Shutdown(ctx); err != nil {
-		d.log.Warn().Int("requests", d.open()).Msg("requests-cut")
+		d.log.Warn().Int("requests", d.openRequests()).Msg("requests-cut")
 	}
-	cut := d.open()
+	cut := d.openRequests()
 	sleep(ctx, shutdownLingerDuration)
 	d.close()
 	d.log.Info().Int("cut", cut).Msg("stopped")
@@ -197,11 +197,11 @@
 // openRequestsTimeout bounds the wait for the control goroutine to count open requests.
 const openRequestsTimeout = time.Second
 
-func (d *AppDaemon) open() int { return d.Open(openRequestsTimeout) }
+func (d *AppDaemon) openRequests() int { return d.OpenRequests(openRequestsTimeout) }
 
 // Open returns the number of requests without an outcome, or 0 when the control goroutine
 // has ended or does not answer within wait.
-func (d *AppDaemon) Open(wait time.Duration) int {
+func (d *AppDaemon) OpenRequests(wait time.Duration) int {
 	n := make(chan int, 1)
 	go d.ctrl.enqueue(func(time.Time) { n <- len(d.ctrl.tickets) })
 	select {
@@ -226,9 +226,9 @@
 	if d.fetchServer != nil {
 		d.fetchServer.Close()
 	}
-	if d.route != nil {
-		d.route.Close()
+	if d.peerSocket != nil {
+		d.peerSocket.Close()
 	}
 	d.upstreams.Close()
-	flushTraces(d.flush, d.log)
+	flushTraces(d.shutdownTracing, d.log)
 }
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -22,15 +22,15 @@
 // goroutines use the methods of RoutedController, which queue work for it or read
 // published copies. It implements forward.Control.
 type RoutedController struct {
-	id        wire.NodeID
-	node      *dispatch.Node // control goroutine only
-	view      *routing.View  // control goroutine only
-	source    Source
-	route     *conn.PeerSocket
-	sealer    *conn.Sealer
-	exchanges *conn.Exchanges
-	log       zerolog.Logger
-	nextID    atomic.Uint64
+	id         wire.NodeID
+	node       *dispatch.Node // control goroutine only
+	view       *routing.View  // control goroutine only
+	source     Source
+	peerSocket *conn.PeerSocket
+	sealer     *conn.Sealer
+	exchanges  *conn.Exchanges
+	log        zerolog.Logger
+	nextID     atomic.Uint64
 	controlLoop
 
 	table            atomic.Pointer[routing.Table]
@@ -85,7 +85,7 @@
 		node:                 dispatch.New(set, now),
 		view:                 routing.NewView(),
 		source:               source,
-		route:                route,
+		peerSocket:           route,
 		sealer:               sealer,
 		exchanges:            exchanges,
 		log:                  log,
@@ -195,7 +195,7 @@
 	for _, o := range outs {
 		switch o := o.(type) {
 		case dispatch.Send:
-			rc.sent.count(o.Datagram, rc.route.Send(o.To, o.Datagram), rc.node.InSamePlace(o.To))
+			rc.sent.count(o.Datagram, rc.peerSocket.Send(o.To, o.Datagram), rc.node.InSamePlace(o.To))
 		case dispatch.Placement:
 			if t := rc.tickets[o.ID]; t != nil {
 				t.Decide(forward.Decision{Placement: &o})
@@ -277,7 +277,7 @@
 
 // Open returns the number of requests without an outcome, or 0 when the control goroutine
 // has ended or does not answer in time.
-func (rc *RoutedController) Open() int {
+func (rc *RoutedController) OpenRequests() int {
 	n, _ := query(&rc.controlLoop, openRequestsTimeout, func(time.Time) int { return len(rc.tickets) })
 	return n
 }
--- a/internal/process/routeddaemon.go
+++ b/internal/process/routeddaemon.go
@@ -25,19 +25,19 @@
 
 // RoutedDaemon is a router process that serves the routed interface.
 type RoutedDaemon struct {
-	mu             sync.Mutex // guards set.Wait and set.Bound
-	set            Settings
-	log            zerolog.Logger
-	ctrl           *RoutedController
-	route          *conn.PeerSocket
-	fetchServer    *conn.FetchServer
-	exchanges      *conn.Exchanges
-	callerServer   *callerServer
-	operatorServer *http.Server
-	readyServer    *http.Server
-	metricsServer  *http.Server
-	flush          func(context.Context) error
-	stop           context.CancelFunc
+	mu              sync.Mutex // guards set.Wait and set.Bound
+	set             Settings
+	log             zerolog.Logger
+	ctrl            *RoutedController
+	peerSocket      *conn.PeerSocket
+	fetchServer     *conn.FetchServer
+	exchanges       *conn.Exchanges
+	callerServer    *callerServer
+	operatorServer  *http.Server
+	readyServer     *http.Server
+	metricsServer   *http.Server
+	shutdownTracing func(context.Context) error
+	stop            context.CancelFunc
 }
 
 const (
@@ -76,21 +76,21 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	d := &RoutedDaemon{set: set, log: log, stop: stop, exchanges: conn.NewExchanges()}
-	if d.flush, err = startTracing(ctx, set); err != nil {
+	if d.shutdownTracing, err = startTracing(ctx, set); err != nil {
 		stop()
 		return nil, err
 	}
-	if d.route, err = conn.Listen(set.Peer, sealer, reg); err != nil {
+	if d.peerSocket, err = conn.Listen(set.Peer, sealer, reg); err != nil {
 		d.close()
 		return nil, err
 	}
-	d.ctrl = NewRoutedController(d.dispatchSettings(), src, d.route, sealer, d.exchanges, log)
+	d.ctrl = NewRoutedController(d.dispatchSettings(), src, d.peerSocket, sealer, d.exchanges, log)
 	d.ctrl.sent = newSentMetrics(reg)
 	if d.fetchServer, err = conn.ServeFetch(set.Peer, sealer, conn.Handlers{conn.MethodContent: d.ctrl.PackedContent, conn.MethodSnapshot: d.ctrl.PackedSnapshot}); err != nil {
 		d.close()
 		return nil, err
 	}
-	if d.callerServer, err = newCallerServer(set.Callers, forward.NewServer(d.ctrl, d.exchanges, names, key, boundsOf(set.MemoryMB), reg, log), set.Files, d.controlBehind, log); err != nil {
+	if d.callerServer, err = newCallerServer(set.Callers, forward.NewServer(d.ctrl, d.exchanges, names, key, limitsFor(set.MemoryMB), reg, log), set.Files, d.controlBehind, log); err != nil {
 		d.close()
 		return nil, err
 	}
@@ -121,9 +121,9 @@
 	defaultMaxAnswerBytes = 64 << 20
 )
 
-// boundsOf returns the limits on concurrent requests and buffered answers for a VM with mb
+// limitsFor returns the limits on concurrent requests and buffered answers for a VM with mb
 // megabytes of memory, 0 for unknown.
-func boundsOf(mb int) forward.Limits {
+func limitsFor(mb int) forward.Limits {
 	if mb == 0 {
 		return forward.Limits{MaxRequests: defaultMaxRequests, MaxAnswerBytes: defaultMaxAnswerBytes}
 	}
@@ -132,7 +132,9 @@
 
 // controlBehind reports whether this router is overloaded while datagrams from its peers
 // are waiting to be read.
-func (d *RoutedDaemon) controlBehind() bool { return d.ctrl.ShedRatio() > 0 && d.route.HasUnread() }
+func (d *RoutedDaemon) controlBehind() bool {
+	return d.ctrl.ShedRatio() > 0 && d.peerSocket.HasUnread()
+}
 
 func setMemoryLimit(mb int) {
 	if mb > 0 {
@@ -252,7 +254,7 @@
 func (d *RoutedDaemon) receive() {
 	buf := make([]byte, 64<<10)
 	for {
-		m, err := d.route.Receive(buf)
+		m, err := d.peerSocket.Receive(buf)
 		if err != nil {
 			return // the socket is closed
 		}
@@ -277,7 +279,7 @@
 		defer stop()
 	}
 	err := d.callerServer.shutdown(ctx)
-	cut := d.ctrl.Open()
+	cut := d.ctrl.OpenRequests()
 	if err != nil {
 		d.log.Warn().Int("requests", cut).Msg("requests-cut")
 	}
@@ -298,7 +300,7 @@
 }
 
 // Open returns the number of requests without an outcome.
-func (d *RoutedDaemon) Open(time.Duration) int { return d.ctrl.Open() }
+func (d *RoutedDaemon) OpenRequests(time.Duration) int { return d.ctrl.OpenRequests() }
 
 // close closes all listeners and connections at once.
 func (d *RoutedDaemon) close() {
@@ -314,9 +316,9 @@
 	if d.fetchServer != nil {
 		d.fetchServer.Close()
 	}
-	if d.route != nil {
-		d.route.Close()
+	if d.peerSocket != nil {
+		d.peerSocket.Close()
 	}
 	d.exchanges.Close()
-	flushTraces(d.flush, d.log)
+	flushTraces(d.shutdownTracing, d.log)
 }
--- a/internal/request/forward/answer.go
+++ b/internal/request/forward/answer.go
@@ -83,14 +83,14 @@
 	a.whole = err == nil
 	a.logAttempt(a.placement, "not-run-by-upstream: "+strconv.Itoa(res.StatusCode), nil)
 	if a.ctx.Err() != nil {
-		a.s.ctl.End(a.ticket, wire.ProgressUnused)
+		a.s.ctrl.End(a.ticket, wire.ProgressUnused)
 		a.giveUp("no-answer-in-time", a.placement.Instance.ID, nil)
 		return stepDone
 	}
 	if a.attempts < a.route.MaxAttempts {
 		return a.retry(wire.ProgressFailed)
 	}
-	a.s.ctl.End(a.ticket, wire.ProgressFailed)
+	a.s.ctrl.End(a.ticket, wire.ProgressFailed)
 	a.failAfterAttempt(a.placement, false, nil)
 	return stepDone
 }
@@ -103,7 +103,7 @@
 		a.exchange.ReportSilence()
 	}
 	if a.ctx.Err() != nil {
-		a.s.ctl.End(a.ticket, endNote(a.r.Context().Err() == nil))
+		a.s.ctrl.End(a.ticket, endNote(a.r.Context().Err() == nil))
 		a.giveUp("no-whole-answer-in-time", a.placement.Instance.ID, err)
 		return stepDone
 	}
@@ -112,7 +112,7 @@
 		a.exchange.Close(false) // stops this upstream's work before another starts
 		return a.retry(wire.ProgressFailed)
 	}
-	a.s.ctl.End(a.ticket, wire.ProgressFailed)
+	a.s.ctrl.End(a.ticket, wire.ProgressFailed)
 	a.failAfterAttempt(a.placement, true, err)
 	return stepDone
 }
@@ -145,7 +145,7 @@
 	a.w.Header().Set("Content-Length", strconv.Itoa(len(buffered.raw)))
 	a.w.WriteHeader(res.StatusCode)
 	_, _ = a.w.Write(buffered.raw) // the caller may be gone
-	a.s.ctl.End(a.ticket, note)
+	a.s.ctrl.End(a.ticket, note)
 	a.logAnswered(a.placement, res.StatusCode, a.timeToFirst)
 	return stepDone
 }
@@ -166,13 +166,13 @@
 	}
 	if err != nil {
 		a.reportBrokenAttempt(a.placement, false, err)
-		a.s.ctl.End(a.ticket, endNote(a.r.Context().Err() == nil))
+		a.s.ctrl.End(a.ticket, endNote(a.r.Context().Err() == nil))
 		a.giveUp("answer-broken", a.placement.Instance.ID, err)
 		return stepDone
 	}
 	a.whole = true
 	a.answeredWhole()
-	a.s.ctl.End(a.ticket, wire.ProgressDone)
+	a.s.ctrl.End(a.ticket, wire.ProgressDone)
 	a.logAnswered(a.placement, res.StatusCode, a.timeToFirst)
 	return stepDone
 }
@@ -181,7 +181,7 @@
 func (a *answer) copyHeaders(res *http.Response) {
 	h := a.w.Header()
 	copyEndToEnd(h, res.Header)
-	if a.s.ctl.Leaving() {
+	if a.s.ctrl.Leaving() {
 		h.Set("Connection", "close")
 	}
 }
@@ -195,7 +195,7 @@
 	a.mayHaveRun = true
 	a.timeToFirst = time.Since(a.began)
 	a.s.count.firstEvent.Update(a.timeToFirst)
-	a.s.ctl.First(a.ticket, a.timeToFirst)
+	a.s.ctrl.First(a.ticket, a.timeToFirst)
 }
 
 // stream forwards events as they arrive, each once and in order.
@@ -236,7 +236,7 @@
 		}
 	}
 	a.reportBrokenAttempt(a.placement, false, context.Canceled)
-	a.s.ctl.End(a.ticket, wire.ProgressDone)
+	a.s.ctrl.End(a.ticket, wire.ProgressDone)
 	a.giveUp("caller-unreachable", a.placement.Instance.ID, nil)
 	return stepDone
 }
@@ -255,7 +255,7 @@
 		a.copyHeaders(res)
 		a.w.WriteHeader(res.StatusCode)
 	}
-	a.s.ctl.End(a.ticket, wire.ProgressDone)
+	a.s.ctrl.End(a.ticket, wire.ProgressDone)
 	a.logAnswered(a.placement, res.StatusCode, a.timeToFirst)
 	return stepDone
 }
--- a/internal/request/forward/failure.go
+++ b/internal/request/forward/failure.go
@@ -33,7 +33,7 @@
 	body := f.reason + "\n"
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if v.s.ctl.Leaving() {
+	if v.s.ctrl.Leaving() {
 		h.Set("Connection", "close")
 	}
 	v.w.WriteHeader(f.status)
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -60,7 +60,7 @@
 	refusedConnections  []string // instances that refused connections
 	answeredWhole       []fingerprint.Fingerprint
 	onAgain             func() // called before another placement is made; may be nil
-	looked              []failedHealthCheck
+	failedHealthChecks  []failedHealthCheck
 	backoffs            []reportedBackoff
 	leavingStarts       []string // starts of upstreams that announced that they are leaving
 	healthCheckFirst    bool     // placements require a health check
@@ -89,7 +89,7 @@
 func (c *fakeControl) Looked(i routing.Instance, coldFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = append(c.looked, failedHealthCheck{i.ID, coldFor})
+	c.failedHealthChecks = append(c.failedHealthChecks, failedHealthCheck{i.ID, coldFor})
 }
 
 func (c *fakeControl) UpstreamLeaves(start string) {
--- a/internal/request/forward/healthcheck.go
+++ b/internal/request/forward/healthcheck.go
@@ -117,7 +117,7 @@
 // it. If the check fails, it informs the control state and returns true: the request must
 // go elsewhere.
 func (r *run) failsHealthCheck(p *dispatch.Placement) (elsewhere bool) {
-	if !p.CheckHealth || r.s.ctl.Unusable(p) != MaySend {
+	if !p.CheckHealth || r.s.ctrl.Unusable(p) != MaySend {
 		return false // an unusable placement is withdrawn by Message.Wanted before sending
 	}
 	path := r.table.HealthPath(r.service)
@@ -129,6 +129,6 @@
 	if result.reached && result.coldFor == 0 {
 		return false
 	}
-	r.s.ctl.Looked(p.Instance, result.coldFor)
+	r.s.ctrl.Looked(p.Instance, result.coldFor)
 	return true
 }
--- a/internal/request/forward/healthcheck_test.go
+++ b/internal/request/forward/healthcheck_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, "hello", body)
-	assert.Equal(t, []failedHealthCheck{{"i-0", 1500 * time.Millisecond}}, r.control.looked)
+	assert.Equal(t, []failedHealthCheck{{"i-0", 1500 * time.Millisecond}}, r.control.failedHealthChecks)
 	assert.Equal(t, []uint8{wire.ProgressUnused, wire.ProgressDone}, r.control.recordedNotes(), "nothing was sent there, so this is no retry")
 	require.Len(t, gotCold(), 1)
 	assert.Equal(t, "/health", gotCold()[0].RequestURI)
@@ -38,7 +38,7 @@
 	res, _, err := r.do(t, "POST", "/once/x", "text")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
-	assert.Equal(t, []failedHealthCheck{{"i-0", 0}}, r.control.looked)
+	assert.Equal(t, []failedHealthCheck{{"i-0", 0}}, r.control.failedHealthChecks)
 }
 
 // The result of one health check is used for half a second.
--- a/internal/request/forward/notice.go
+++ b/internal/request/forward/notice.go
@@ -54,11 +54,11 @@
 	n := s.dialect.readNotice(res)
 	if n.leaving {
 		s.count.leavingNotices.Inc(1)
-		s.ctl.UpstreamLeaves(start)
+		s.ctrl.UpstreamLeaves(start)
 	}
 	if n.backoff > 0 {
 		s.count.backoffNotices.Inc(1)
-		s.ctl.UpstreamBacksOff(start, n.backoff)
+		s.ctrl.UpstreamBacksOff(start, n.backoff)
 	}
 	if n == (notice{}) {
 		return
--- a/internal/request/forward/quarantine.go
+++ b/internal/request/forward/quarantine.go
@@ -14,7 +14,7 @@
 // crashes returns the quarantine state of the request. The fingerprint is computed only if
 // the organisation has requests during which upstreams crashed.
 func (v *callerRequest) crashes() quarantine.State {
-	known := v.s.ctl.Quarantined(v.org)
+	known := v.s.ctrl.Quarantined(v.org)
 	if len(known) == 0 {
 		return quarantine.State{}
 	}
@@ -38,7 +38,7 @@
 
 // endQuarantined ends a request that was quarantined while it waited or between attempts.
 func (r *run) endQuarantined(f failure) {
-	r.s.ctl.End(r.ticket, wire.ProgressUnused)
+	r.s.ctrl.End(r.ticket, wire.ProgressUnused)
 	switch {
 	case r.headersSent:
 		r.abort(reasonQuarantined)
@@ -52,7 +52,7 @@
 // reportBrokenAttempt reports to the control state that the upstream may have run the
 // request and gave no whole answer. early is true if the answer had not begun.
 func (r *run) reportBrokenAttempt(p *dispatch.Placement, early bool, err error) {
-	r.s.ctl.Broke(dispatch.Broke{
+	r.s.ctrl.Broke(dispatch.Broke{
 		Content:  r.fingerprint(),
 		Org:      r.org,
 		Instance: p.Instance,
@@ -66,6 +66,6 @@
 // the request: the answer shows that the request did not cause them.
 func (r *run) answeredWhole() {
 	if r.crashes().Crashes > 0 {
-		r.s.ctl.AnsweredWhole(r.fingerprint())
+		r.s.ctrl.AnsweredWhole(r.fingerprint())
 	}
 }
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -52,7 +52,7 @@
 		d, ok := r.ticket.wait(r.ctx)
 		r.s.count.decision.UpdateSince(waitStart)
 		if !ok {
-			r.s.ctl.End(r.ticket, wire.ProgressUnused)
+			r.s.ctrl.End(r.ticket, wire.ProgressUnused)
 			r.giveUp("no-decision-in-time", "", nil)
 			return
 		}
@@ -186,7 +186,7 @@
 		h.Set(headerLastEventID, strconv.FormatInt(r.lastPosition, 10))
 	}
 	return &conn.Message{Method: r.r.Method, Target: r.r.RequestURI, Host: r.r.Host, Header: h, Body: r.body,
-		StillWanted: func() bool { return r.s.ctl.Unusable(p) == MaySend }, UpstreamStart: p.Instance.StartID()}
+		StillWanted: func() bool { return r.s.ctrl.Unusable(p) == MaySend }, UpstreamStart: p.Instance.StartID()}
 }
 
 // isOwnAnswer reports whether an answer belongs to this request. A late answer to an
@@ -204,16 +204,16 @@
 	case sent:
 		r.reportBrokenAttempt(p, true, err)
 	case conn.IsRefused(err):
-		r.s.ctl.ConnRefused(p.Instance)
+		r.s.ctrl.ConnRefused(p.Instance)
 	}
 	if r.ctx.Err() != nil {
-		r.s.ctl.End(r.ticket, endNote(sent && r.r.Context().Err() == nil))
+		r.s.ctrl.End(r.ticket, endNote(sent && r.r.Context().Err() == nil))
 		r.giveUp("no-answer-in-time", p.Instance.ID, err)
 		return stepDone
 	}
 	if conn.IsWithdrawn(err) && r.withdrawn < maxWithdrawn {
 		r.attempts--
-		r.withdraw(p, cmp.Or(r.s.ctl.Unusable(p), UpstreamLeft))
+		r.withdraw(p, cmp.Or(r.s.ctrl.Unusable(p), UpstreamLeft))
 		return stepRetry
 	}
 	note := wire.ProgressFailed
@@ -222,7 +222,7 @@
 	}
 	r.logAttempt(p, "attempt-failed", err)
 	if sent && !r.route.MayRepeat() || r.attempts >= r.route.MaxAttempts {
-		r.s.ctl.End(r.ticket, note)
+		r.s.ctrl.End(r.ticket, note)
 		r.failAfterAttempt(p, sent, err)
 		return stepDone
 	}
@@ -234,7 +234,7 @@
 	r.withdrawn++
 	r.s.count.withdrawn.Inc(1)
 	r.logAttempt(p, string(why), nil)
-	r.s.ctl.Again(r.ticket, wire.ProgressUnused)
+	r.s.ctrl.Again(r.ticket, wire.ProgressUnused)
 }
 
 // failAfterAttempt ends a request that is not tried again after a failed attempt.
@@ -252,7 +252,7 @@
 // retry requests another placement after a failed attempt.
 func (r *run) retry(note uint8) step {
 	r.s.count.repeated.Inc(1)
-	r.s.ctl.Again(r.ticket, note)
+	r.s.ctrl.Again(r.ticket, note)
 	return stepRetry
 }
 
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -25,7 +25,7 @@
 
 // Server is the HTTP handler of the routed interface. It is safe for concurrent use.
 type Server struct {
-	ctl           Control
+	ctrl          Control
 	exchanges     *conn.Exchanges
 	dialect       Dialect
 	limit         int // concurrent requests
@@ -43,7 +43,7 @@
 // NewServer returns a Server. It identifies repeated requests by fingerprints made with
 // the key.
 func NewServer(ctl Control, exchanges *conn.Exchanges, dialect Dialect, key *fingerprint.Key, limit Limits, reg metrics.Registry, log zerolog.Logger) *Server {
-	s := &Server{ctl: ctl, exchanges: exchanges, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
+	s := &Server{ctrl: ctl, exchanges: exchanges, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
 	s.healthChecker = newHealthChecker(exchanges, dialect, s.clock)
 	exchanges.OnResponse = s.handleNotice
 	exchanges.OnOpen = func() { s.count.opened.Inc(1) }
@@ -55,27 +55,27 @@
 
 // callerRequest is one request, from its headers to its outcome.
 type callerRequest struct {
-	s        *Server
-	w        http.ResponseWriter
-	r        *http.Request
-	id       string
-	arrived  time.Time
-	table    *routing.Table
-	route    *routing.Route
-	service  string // drawn once from the route's traffic split
-	org      string
-	priority int
-	regions  routing.Regions
-	body     []byte
-	deadline time.Time
-	prompt   prompt
-	print    *fingerprint.Fingerprint // computed on first use
+	s                 *Server
+	w                 http.ResponseWriter
+	r                 *http.Request
+	id                string
+	arrived           time.Time
+	table             *routing.Table
+	route             *routing.Route
+	service           string // drawn once from the route's traffic split
+	org               string
+	priority          int
+	regions           routing.Regions
+	body              []byte
+	deadline          time.Time
+	prompt            prompt
+	cachedFingerprint *fingerprint.Fingerprint // computed on first use
 }
 
 // fingerprint returns the fingerprint of the request's content. The body must have been
 // read. It is computed on first use, as it takes 24 us for a body of 40 KB.
 func (v *callerRequest) fingerprint() fingerprint.Fingerprint {
-	if v.print == nil {
+	if v.cachedFingerprint == nil {
 		f := v.s.key.Of(fingerprint.Content{
 			Organisation: v.org,
 			Method:       v.r.Method,
@@ -83,9 +83,9 @@
 			Target:       v.r.RequestURI,
 			Body:         v.body,
 		})
-		v.print = &f
+		v.cachedFingerprint = &f
 	}
-	return *v.print
+	return *v.cachedFingerprint
 }
 
 // startingRetryDelay is the Retry-After of a router that has no routing table yet.
@@ -106,7 +106,7 @@
 		v.fail(*f)
 		return
 	}
-	if full || s.loadShedder.refuses(v.org, s.ctl.ShedRatio(), s.ctl.AdmitRatio(v.service, v.org), v.arrived) {
+	if full || s.loadShedder.refuses(v.org, s.ctrl.ShedRatio(), s.ctrl.AdmitRatio(v.service, v.org), v.arrived) {
 		v.shedRequest()
 		return
 	}
@@ -122,7 +122,7 @@
 // arrived at this router.
 func (v *callerRequest) shedRequest() {
 	v.s.count.shed.Inc(1)
-	v.s.ctl.RequestShed(dispatch.ShedWork{
+	v.s.ctrl.RequestShed(dispatch.ShedWork{
 		Service: v.service,
 		Org:     v.org,
 		Tokens:  dispatch.Cost(v.prompt.input, v.prompt.output),
@@ -133,7 +133,7 @@
 // admit finds the route, organisation and deadline of the request. It returns a failure if
 // the headers alone rule the request out.
 func (v *callerRequest) admit() *failure {
-	v.table = v.s.ctl.Table()
+	v.table = v.s.ctrl.Table()
 	if v.table == nil {
 		return &failure{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: startingRetryDelay}
 	}
@@ -223,7 +223,7 @@
 	v.setWriteDeadline(v.deadline.Add(answerWriteGrace))
 	ctx, stop := v.s.clock.WithDeadline(v.r.Context(), v.deadline)
 	defer stop()
-	t := v.s.ctl.Submit(dispatch.Request{
+	t := v.s.ctrl.Submit(dispatch.Request{
 		Service:    v.service,
 		Org:        v.org,
 		Input:      v.prompt.input,
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -29,18 +29,18 @@
 
 // run executes one request, from its ticket to its outcome.
 type run struct {
-	s          *Server
-	v          *callerRequest
-	app        *version.Application
-	call       relay.Call
-	streams    bool
-	ticket     *Ticket
-	ctx        context.Context
-	deadline   time.Time
-	attempts   int
-	mayHaveRun bool                     // an attempt so far may have run the request
-	sentAt     time.Time                // of the latest attempt, by the server's clock
-	print      *fingerprint.Fingerprint // computed on first use
+	s                 *Server
+	req               *callerRequest
+	app               *version.Application
+	call              relay.Call
+	streams           bool
+	ticket            *Ticket
+	ctx               context.Context
+	deadline          time.Time
+	attempts          int
+	mayHaveRun        bool                     // an attempt so far may have run the request
+	sentAt            time.Time                // of the latest attempt, by the server's clock
+	cachedFingerprint *fingerprint.Fingerprint // computed on first use
 }
 
 // loop waits for slots and makes attempts until there is an outcome.
@@ -52,11 +52,11 @@
 		}
 		r.s.clock.Refresh() // the lease may have expired during a suspension not yet noticed
 		if r.s.clock.Since(d.At) > maxDecisionAge {
-			r.s.ctl.Return(r.ticket, false)
+			r.s.ctrl.Return(r.ticket, false)
 			continue
 		}
 		if left := r.quarantinedFor(); left > 0 {
-			r.s.ctl.Cancel(r.ticket)
+			r.s.ctrl.Cancel(r.ticket)
 			r.refuseQuarantined(left, r.mayHaveRun)
 			return
 		}
@@ -70,14 +70,14 @@
 func (r *run) wait() (Decision, bool) {
 	_, span := r.s.tracer.Start(r.ctx, "queue")
 	defer span.End()
-	d, ok := r.ticket.Wait(r.v.r.Context())
+	d, ok := r.ticket.Wait(r.req.r.Context())
 	if !ok {
 		r.abandon()
 		return d, false
 	}
 	if d.Upstream == nil {
 		span.SetAttributes(attribute.String("refused", string(d.Refusal.Reason)))
-		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.Doubt))
+		r.s.failRequest(r.req, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.Doubt))
 		return d, false
 	}
 	_, grant := r.s.tracer.Start(r.ctx, "grant", trace.WithTimestamp(d.At), trace.WithAttributes(attribute.String("upstream", d.Upstream.Name)))
@@ -88,7 +88,7 @@
 // abandon ends a request whose caller went away while it waited. A slot that was granted at
 // the same moment is returned unused.
 func (r *run) abandon() {
-	r.s.ctl.Cancel(r.ticket)
+	r.s.ctrl.Cancel(r.ticket)
 	r.s.count.outcome(outcome.NotRun, outcome.ReasonCanceled)
 }
 
@@ -105,7 +105,7 @@
 	defer stop()
 	res := relay.Send(ctx, r.s.upstreams, u, id, r.call)
 	if res.UpstreamLeaving {
-		r.s.ctl.UpstreamLeaving(u.ID)
+		r.s.ctrl.UpstreamLeaving(u.ID)
 	}
 	switch res.State {
 	case relay.Replied:
@@ -126,11 +126,11 @@
 // instead.
 func (r *run) retry(failed bool) bool {
 	if r.attempts < maxAttempts && r.ctx.Err() == nil {
-		r.s.ctl.Return(r.ticket, failed)
+		r.s.ctrl.Return(r.ticket, failed)
 		return false
 	}
 	r.finish(wire.Sample{Failed: 1}, false)
-	r.s.failRequest(r.v, outcome.Refused(entry.ReasonNoUpstream, time.Second, false))
+	r.s.failRequest(r.req, outcome.Refused(entry.ReasonNoUpstream, time.Second, false))
 	return true
 }
 
@@ -139,13 +139,13 @@
 func (r *run) failed(u *version.Upstream, id string, res relay.Result) bool {
 	r.mayHaveRun = true
 	r.reportBrokenAttempt(u, true)
-	gone := r.v.r.Context().Err() != nil
+	gone := r.req.r.Context().Err() != nil
 	if gone || r.ctx.Err() != nil {
 		relay.Cancel(r.s.upstreams, u, id, r.call.Organisation)
 	}
 	if !gone && r.app.Idempotent && r.attempts < maxAttempts && r.ctx.Err() == nil && r.s.budget.take() {
 		r.s.count.retried.Inc(1)
-		r.s.ctl.Return(r.ticket, true)
+		r.s.ctrl.Return(r.ticket, true)
 		return false
 	}
 	r.finish(wire.Sample{Failed: 1}, false)
@@ -157,13 +157,13 @@
 	if r.ctx.Err() != nil {
 		status = http.StatusGatewayTimeout
 	}
-	r.s.failRequest(r.v, outcome.Failure{Kind: outcome.Unknown, Status: status, Reason: reason, Detail: "the upstream gave no whole answer; the request may have run"})
+	r.s.failRequest(r.req, outcome.Failure{Kind: outcome.Unknown, Status: status, Reason: reason, Detail: "the upstream gave no whole answer; the request may have run"})
 	return true
 }
 
 // finish releases the slot. An answered request adds to the retry budget.
 func (r *run) finish(s wire.Sample, answered bool) {
-	r.s.ctl.Finish(r.ticket, s, answered)
+	r.s.ctrl.Finish(r.ticket, s, answered)
 	if answered {
 		r.s.budget.earn()
 	}
@@ -175,20 +175,20 @@
 // writeHeader sends the answer's headers. The outcome header is left out if kind is empty,
 // and the length if it is negative.
 func (r *run) writeHeader(res *http.Response, kind outcome.Kind, length int) {
-	h := r.v.w.Header()
+	h := r.req.w.Header()
 	for _, name := range forwardedHeaders {
 		if v, ok := res.Header[name]; ok {
 			h[name] = v
 		}
 	}
-	h.Set(outcome.HeaderRequestID, r.v.terms.ID)
+	h.Set(outcome.HeaderRequestID, r.req.terms.ID)
 	if kind != "" {
 		h.Set(outcome.HeaderOutcome, string(kind))
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.Itoa(length))
 	}
-	r.v.w.WriteHeader(res.StatusCode)
+	r.req.w.WriteHeader(res.StatusCode)
 }
 
 // readWhole reads an answer that is not a stream. An answer that is cut short or exceeds
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -46,7 +46,7 @@
 
 // Server handles callers' requests. It is safe for concurrent use.
 type Server struct {
-	ctl            Control
+	ctrl           Control
 	upstreams      *conn.Upstreams
 	limits         Limits
 	budget         *retryBudget
@@ -60,7 +60,7 @@
 // key.
 func NewServer(ctl Control, upstreams *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
 	return &Server{
-		ctl:            ctl,
+		ctrl:           ctl,
 		upstreams:      upstreams,
 		limits:         limits,
 		budget:         newRetryBudget(),
@@ -119,7 +119,7 @@
 
 func (s *Server) admit(v *callerRequest) error {
 	v.terms.ID = caller.RequestID(v.r)
-	v.ver = s.ctl.Version()
+	v.ver = s.ctrl.Version()
 	if v.ver == nil {
 		return outcome.Refused(entry.ReasonNoVersion, time.Second, false)
 	}
@@ -128,7 +128,7 @@
 		return err
 	}
 	v.org = org
-	if !org.Allows(s.ctl.Place()) {
+	if !org.Allows(s.ctrl.Place()) {
 		return s.redirect(v)
 	}
 	v.terms, err = caller.Read(v.r, v.terms.ID)
@@ -139,7 +139,7 @@
 // there is none, it returns a refusal.
 func (s *Server) redirect(v *callerRequest) error {
 	f := outcome.BadRequest(http.StatusMisdirectedRequest, outcome.ReasonPlace, "this router stands outside the organisation's places")
-	if base := s.ctl.Redirect(v.org.Places); base != "" {
+	if base := s.ctrl.Redirect(v.org.Places); base != "" {
 		f.Status = http.StatusTemporaryRedirect
 		f.Location = base + v.r.URL.RequestURI()
 	} else {
@@ -293,12 +293,12 @@
 	call.Header = v.r.Header
 	call.Organisation = v.org.Name
 	call.Repeatable = app.Idempotent
-	run := &run{s: s, v: v, app: app, call: call, streams: streams, ctx: ctx, deadline: deadline}
+	run := &run{s: s, req: v, app: app, call: call, streams: streams, ctx: ctx, deadline: deadline}
 	if left := run.quarantinedFor(); left > 0 {
 		run.refuseQuarantined(left, idempotencyKey != nil)
 		return
 	}
-	run.ticket = s.ctl.Submit(entry.Request{
+	run.ticket = s.ctrl.Submit(entry.Request{
 		Org:      v.org.ID,
 		App:      app.Name,
 		Urgent:   v.terms.Urgent || app.Priority == version.PriorityUrgent,
