--- a/internal/process/appcontroller.go
+++ b/internal/process/appcontroller.go
@@ -50,13 +50,13 @@
 }
 
 // NewAppController returns a controller that is not running yet.
-func NewAppController(set core.Settings, route *conn.PeerSocket, sealer *conn.Sealer, log zerolog.Logger) *AppController {
+func NewAppController(set core.Settings, peerSocket *conn.PeerSocket, sealer *conn.Sealer, log zerolog.Logger) *AppController {
 	now := clock.System.Now()
 	ac := &AppController{
 		id:         set.ID,
 		node:       core.New(set, now),
 		place:      set.Place,
-		peerSocket: route,
+		peerSocket: peerSocket,
 		sealer:     sealer,
 		log:        log,
 		tickets:    map[uint64]*ticketState{},
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -78,14 +78,14 @@
 }
 
 // NewRoutedController returns a controller that is not running yet.
-func NewRoutedController(set dispatch.Settings, source Source, route *conn.PeerSocket, sealer *conn.Sealer, exchanges *conn.Exchanges, log zerolog.Logger) *RoutedController {
+func NewRoutedController(set dispatch.Settings, source Source, peerSocket *conn.PeerSocket, sealer *conn.Sealer, exchanges *conn.Exchanges, log zerolog.Logger) *RoutedController {
 	now := clock.System.Now()
 	rc := &RoutedController{
 		id:                   set.ID,
 		node:                 dispatch.New(set, now),
 		view:                 routing.NewView(),
 		source:               source,
-		peerSocket:           route,
+		peerSocket:           peerSocket,
 		sealer:               sealer,
 		exchanges:            exchanges,
 		log:                  log,
--- a/internal/request/forward/bench_test.go
+++ b/internal/request/forward/bench_test.go
@@ -19,10 +19,10 @@
 // its body is read. It takes 167 us with the caller's own work: 13 us in this package, the
 // rest in net/http, the kernel and the caller (CPU profile of 20,000 requests).
 func BenchmarkShedRequest(b *testing.B) {
-	ctl := &fakeControl{table: testTable(b)}
+	ctrl := &fakeControl{table: testTable(b)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	s := &http.Server{Handler: NewServer(ctl, conn.NewExchanges(), testDialect, testKey(b), Limits{}, metrics.NewRegistry(), zerolog.Nop())}
+	s := &http.Server{Handler: NewServer(ctrl, conn.NewExchanges(), testDialect, testKey(b), Limits{}, metrics.NewRegistry(), zerolog.Nop())}
 	go func() { _ = s.Serve(l) }()
 	defer s.Close()
 	body := strings.Repeat("x", 9200)
--- a/internal/request/forward/counters.go
+++ b/internal/request/forward/counters.go
@@ -33,12 +33,12 @@
 }
 
 // logEnd logs a request that ended without an answer.
-func (v *callerRequest) logEnd(f failure) {
-	e := v.s.reqLog.failure()
+func (req *callerRequest) logEnd(f failure) {
+	e := req.s.reqLog.failure()
 	if e == nil {
 		return
 	}
-	v.addRequestFields(e, f.upstream)
+	req.addRequestFields(e, f.upstream)
 	if f.err != nil {
 		e.AnErr("cause", f.err)
 	}
@@ -46,7 +46,7 @@
 		e.Str("by", string(d.By)).Int("wait_ms", d.WaitMS).Int("limit_ms", d.LimitMS).Int("own_ms", d.PrefillMS).Uint32("share_percent", d.Over).Uint64("revision", d.Revision)
 	}
 	if f.crashes > 0 {
-		e.Stringer("fingerprint", v.fingerprint()).Int("crashes", f.crashes)
+		e.Stringer("fingerprint", req.fingerprint()).Int("crashes", f.crashes)
 	}
 	if f.retryAfter > 0 {
 		e.Int64("come_back_ms", f.retryAfter.Milliseconds())
@@ -56,13 +56,13 @@
 
 // addRequestFields adds the fields that every log line about a request has: its id, the
 // inputs of the decision and their version.
-func (v *callerRequest) addRequestFields(e *zerolog.Event, up string) {
-	e.Str("request", v.id).Str("organisation", v.org).Int64("after_ms", v.s.clock.Since(v.arrived).Milliseconds())
-	if v.route != nil {
-		e.Str("route", v.route.Name).Int64("time_ms", v.deadline.Sub(v.arrived).Milliseconds())
+func (req *callerRequest) addRequestFields(e *zerolog.Event, up string) {
+	e.Str("request", req.id).Str("organisation", req.org).Int64("after_ms", req.s.clock.Since(req.arrived).Milliseconds())
+	if req.route != nil {
+		e.Str("route", req.route.Name).Int64("time_ms", req.deadline.Sub(req.arrived).Milliseconds())
 	}
-	if v.table != nil {
-		e.Uint64("version", v.table.Number)
+	if req.table != nil {
+		e.Uint64("version", req.table.Number)
 	}
 	if up != "" {
 		e.Str("upstream", up)
--- a/internal/request/forward/failure.go
+++ b/internal/request/forward/failure.go
@@ -22,10 +22,10 @@
 }
 
 // fail sends the failure to the caller. Nothing of an answer may have been sent before.
-func (v *callerRequest) fail(f failure) {
-	h := v.w.Header()
-	if v.id != "" {
-		h.Set(v.s.dialect.RequestID, v.id)
+func (req *callerRequest) fail(f failure) {
+	h := req.w.Header()
+	if req.id != "" {
+		h.Set(req.s.dialect.RequestID, req.id)
 	}
 	if f.retryAfter > 0 {
 		h.Set(headerRetryAfter, strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
@@ -33,13 +33,13 @@
 	body := f.reason + "\n"
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if v.s.ctrl.Leaving() {
+	if req.s.ctrl.Leaving() {
 		h.Set("Connection", "close")
 	}
-	v.w.WriteHeader(f.status)
-	_, _ = v.w.Write([]byte(body)) // the caller may be gone
-	v.s.count.failed(f.status)
-	v.logEnd(f)
+	req.w.WriteHeader(f.status)
+	_, _ = req.w.Write([]byte(body)) // the caller may be gone
+	req.s.count.failed(f.status)
+	req.logEnd(f)
 }
 
 // notRun returns the failure of a request that certainly did not run.
--- a/internal/request/forward/quarantine.go
+++ b/internal/request/forward/quarantine.go
@@ -13,24 +13,24 @@
 
 // crashes returns the quarantine state of the request. The fingerprint is computed only if
 // the organisation has requests during which upstreams crashed.
-func (v *callerRequest) crashes() quarantine.State {
-	known := v.s.ctrl.Quarantined(v.org)
+func (req *callerRequest) crashes() quarantine.State {
+	known := req.s.ctrl.Quarantined(req.org)
 	if len(known) == 0 {
 		return quarantine.State{}
 	}
-	return known[v.fingerprint()]
+	return known[req.fingerprint()]
 }
 
 // quarantined returns the refusal of a request that is quarantined because upstreams crashed
 // during it, or nil. Such a request is sent to no further upstream: without quarantine a
 // single request crashed 17 upstreams of a service in 82 s.
-func (v *callerRequest) quarantined() *failure {
-	known := v.crashes()
-	left := known.Held(v.s.clock.Now())
+func (req *callerRequest) quarantined() *failure {
+	known := req.crashes()
+	left := known.Held(req.s.clock.Now())
 	if left == 0 {
 		return nil
 	}
-	v.s.count.quarantined.Inc(1)
+	req.s.count.quarantined.Inc(1)
 	end := notRun(reasonQuarantined, left)
 	end.crashes = known.Crashes
 	return &end
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -42,8 +42,8 @@
 
 // NewServer returns a Server. It identifies repeated requests by fingerprints made with
 // the key.
-func NewServer(ctl Control, exchanges *conn.Exchanges, dialect Dialect, key *fingerprint.Key, limit Limits, reg metrics.Registry, log zerolog.Logger) *Server {
-	s := &Server{ctrl: ctl, exchanges: exchanges, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
+func NewServer(ctrl Control, exchanges *conn.Exchanges, dialect Dialect, key *fingerprint.Key, limit Limits, reg metrics.Registry, log zerolog.Logger) *Server {
+	s := &Server{ctrl: ctrl, exchanges: exchanges, dialect: dialect, key: key, clock: clock.System, limit: limit.MaxRequests, buffers: answerBuffers{limit: limit.MaxAnswerBytes}, loadShedder: newLoadShedder(), count: newCounters(reg), reqLog: newRequestLog(log), tracer: otel.Tracer("silverswitch")}
 	s.healthChecker = newHealthChecker(exchanges, dialect, s.clock)
 	exchanges.OnResponse = s.handleNotice
 	exchanges.OnOpen = func() { s.count.opened.Inc(1) }
@@ -74,18 +74,18 @@
 
 // fingerprint returns the fingerprint of the request's content. The body must have been
 // read. It is computed on first use, as it takes 24 us for a body of 40 KB.
-func (v *callerRequest) fingerprint() fingerprint.Fingerprint {
-	if v.cachedFingerprint == nil {
-		f := v.s.key.Of(fingerprint.Content{
-			Organisation: v.org,
-			Method:       v.r.Method,
-			Host:         v.r.Host,
-			Target:       v.r.RequestURI,
-			Body:         v.body,
+func (req *callerRequest) fingerprint() fingerprint.Fingerprint {
+	if req.cachedFingerprint == nil {
+		f := req.s.key.Of(fingerprint.Content{
+			Organisation: req.org,
+			Method:       req.r.Method,
+			Host:         req.r.Host,
+			Target:       req.r.RequestURI,
+			Body:         req.body,
 		})
-		v.cachedFingerprint = &f
+		req.cachedFingerprint = &f
 	}
-	return *v.cachedFingerprint
+	return *req.cachedFingerprint
 }
 
 // startingRetryDelay is the Retry-After of a router that has no routing table yet.
@@ -98,88 +98,88 @@
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.tracer.Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	v := &callerRequest{s: s, w: w, r: r.WithContext(ctx), id: r.Header.Get(s.dialect.RequestID), arrived: s.clock.Now()}
-	v.setWriteDeadline(v.arrived.Add(refusalWriteTimeout))
+	req := &callerRequest{s: s, w: w, r: r.WithContext(ctx), id: r.Header.Get(s.dialect.RequestID), arrived: s.clock.Now()}
+	req.setWriteDeadline(req.arrived.Add(refusalWriteTimeout))
 	defer s.open.Add(-1)
 	full := s.open.Add(1) > int64(s.limit)
-	if f := v.admit(); f != nil {
-		v.fail(*f)
+	if f := req.admit(); f != nil {
+		req.fail(*f)
 		return
 	}
-	if full || s.loadShedder.refuses(v.org, s.ctrl.ShedRatio(), s.ctrl.AdmitRatio(v.service, v.org), v.arrived) {
-		v.shedRequest()
+	if full || s.loadShedder.refuses(req.org, s.ctrl.ShedRatio(), s.ctrl.AdmitRatio(req.service, req.org), req.arrived) {
+		req.shedRequest()
 		return
 	}
-	if f := v.readBody(); f != nil {
-		v.fail(*f)
+	if f := req.readBody(); f != nil {
+		req.fail(*f)
 		return
 	}
-	v.run()
+	req.run()
 }
 
 // shedRequest refuses a request because this router is overloaded. Its work is still
 // counted as demand, so that the organisation's share does not shrink because its requests
 // arrived at this router.
-func (v *callerRequest) shedRequest() {
-	v.s.count.shed.Inc(1)
-	v.s.ctrl.RequestShed(dispatch.ShedWork{
-		Service: v.service,
-		Org:     v.org,
-		Tokens:  dispatch.Cost(v.prompt.input, v.prompt.output),
+func (req *callerRequest) shedRequest() {
+	req.s.count.shed.Inc(1)
+	req.s.ctrl.RequestShed(dispatch.ShedWork{
+		Service: req.service,
+		Org:     req.org,
+		Tokens:  dispatch.Cost(req.prompt.input, req.prompt.output),
 	})
-	v.fail(notRun("router-overloaded", shedRetryDelay))
+	req.fail(notRun("router-overloaded", shedRetryDelay))
 }
 
 // admit finds the route, organisation and deadline of the request. It returns a failure if
 // the headers alone rule the request out.
-func (v *callerRequest) admit() *failure {
-	v.table = v.s.ctrl.Table()
-	if v.table == nil {
+func (req *callerRequest) admit() *failure {
+	req.table = req.s.ctrl.Table()
+	if req.table == nil {
 		return &failure{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: startingRetryDelay}
 	}
-	v.route = v.table.Match(v.r.Host, v.r.URL.Path)
-	if v.route == nil {
+	req.route = req.table.Match(req.r.Host, req.r.URL.Path)
+	if req.route == nil {
 		return &failure{status: http.StatusNotFound, reason: "no-route"}
 	}
-	v.service = v.route.Pick(rand.Float64())
-	v.priority = v.route.Priority
-	v.regions = v.route.Regions
-	if v.table.RequiresAPIKey() && !v.route.Public {
-		key, bearer := strings.CutPrefix(v.r.Header.Get("Authorization"), "Bearer ")
-		org := v.table.ByAPIKey(strings.TrimSpace(key))
+	req.service = req.route.Pick(rand.Float64())
+	req.priority = req.route.Priority
+	req.regions = req.route.Regions
+	if req.table.RequiresAPIKey() && !req.route.Public {
+		key, bearer := strings.CutPrefix(req.r.Header.Get("Authorization"), "Bearer ")
+		org := req.table.ByAPIKey(strings.TrimSpace(key))
 		if !bearer || org == nil {
 			return &failure{status: http.StatusUnauthorized, reason: "unknown-api-key"}
 		}
-		v.org = org.Name
+		req.org = org.Name
 		if org.Priority != nil {
-			v.priority = *org.Priority
+			req.priority = *org.Priority
 		}
-		v.regions = v.regions.Intersect(org.Regions)
+		req.regions = req.regions.Intersect(org.Regions)
 	}
-	v.deadline = v.arrived.Add(v.s.dialect.deadline(v.r.Header, v.route.Timeout))
-	v.prompt = v.s.dialect.readPrompt(v.r.Header)
+	req.deadline = req.arrived.Add(req.s.dialect.deadline(req.r.Header, req.route.Timeout))
+	req.prompt = req.s.dialect.readPrompt(req.r.Header)
 	return nil
 }
 
 // readBody reads the whole body, as it may have to be sent to a second upstream.
-func (v *callerRequest) readBody() *failure {
-	if v.r.Body == nil || v.r.Body == http.NoBody {
+func (req *callerRequest) readBody() *failure {
+	if req.r.Body == nil || req.r.Body == http.NoBody {
 		return nil
 	}
-	limit := v.table.Limits.BodyBytes
-	if v.r.ContentLength > limit {
-		v.w.Header().Set("Connection", "close")
+	limit := req.table.Limits.BodyBytes
+	if req.r.ContentLength > limit {
+		req.w.Header().Set("Connection", "close")
 		return &failure{status: http.StatusRequestEntityTooLarge, reason: "body-too-large"}
 	}
-	rc := http.NewResponseController(v.w)
-	_ = rc.SetReadDeadline(v.s.clock.Monotonic(v.deadline)) // not supported by test recorders
-	raw, err := readSized(http.MaxBytesReader(v.w, v.r.Body, limit), v.r.ContentLength)
+	rc := http.NewResponseController(req.w)
+	_ = rc.SetReadDeadline(req.s.clock.Monotonic(req.deadline)) // not supported by test recorders
+	raw, err := readSized(http.MaxBytesReader(req.w, req.r.Body, limit), req.r.ContentLength)
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
-		v.body = raw
+		req.body = raw
 		return nil
 	}
-	v.w.Header().Set("Connection", "close")
+	req.w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return &failure{status: http.StatusRequestEntityTooLarge, reason: "body-too-large"}
@@ -210,30 +210,30 @@
 
 // setWriteDeadline bounds writes to the caller, so that a dead connection does not hold
 // resources for ever. The deadline applies to the connection, so each request must set it.
-func (v *callerRequest) setWriteDeadline(until time.Time) {
-	_ = http.NewResponseController(v.w).SetWriteDeadline(v.s.clock.Monotonic(until)) // not supported by test recorders
+func (req *callerRequest) setWriteDeadline(until time.Time) {
+	_ = http.NewResponseController(req.w).SetWriteDeadline(req.s.clock.Monotonic(until)) // not supported by test recorders
 }
 
 // run submits the request for placement and executes its attempts.
-func (v *callerRequest) run() {
-	if f := v.quarantined(); f != nil {
-		v.fail(*f)
+func (req *callerRequest) run() {
+	if f := req.quarantined(); f != nil {
+		req.fail(*f)
 		return
 	}
-	v.setWriteDeadline(v.deadline.Add(answerWriteGrace))
-	ctx, stop := v.s.clock.WithDeadline(v.r.Context(), v.deadline)
+	req.setWriteDeadline(req.deadline.Add(answerWriteGrace))
+	ctx, stop := req.s.clock.WithDeadline(req.r.Context(), req.deadline)
 	defer stop()
-	t := v.s.ctrl.Submit(dispatch.Request{
-		Service:    v.service,
-		Org:        v.org,
-		Input:      v.prompt.input,
-		Output:     v.prompt.output,
-		Parts:      v.prompt.parts,
-		Priority:   v.priority,
-		TargetTime: v.arrived.Add(v.route.TargetLatency),
-		Deadline:   v.deadline,
-		Regions:    v.regions,
+	t := req.s.ctrl.Submit(dispatch.Request{
+		Service:    req.service,
+		Org:        req.org,
+		Input:      req.prompt.input,
+		Output:     req.prompt.output,
+		Parts:      req.prompt.parts,
+		Priority:   req.priority,
+		TargetTime: req.arrived.Add(req.route.TargetLatency),
+		Deadline:   req.deadline,
+		Regions:    req.regions,
 	})
-	r := &run{callerRequest: v, ctx: ctx, ticket: t, lastPosition: parseLastEventID(v.r.Header)}
+	r := &run{callerRequest: req, ctx: ctx, ticket: t, lastPosition: parseLastEventID(req.r.Header)}
 	r.loop()
 }
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -58,9 +58,9 @@
 
 // NewServer returns a Server. It identifies repeated requests by fingerprints made with the
 // key.
-func NewServer(ctl Control, upstreams *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
+func NewServer(ctrl Control, upstreams *conn.Upstreams, fingerprints *fingerprint.Key, limits Limits, reg metrics.Registry) *Server {
 	return &Server{
-		ctrl:           ctl,
+		ctrl:           ctrl,
 		upstreams:      upstreams,
 		limits:         limits,
 		budget:         newRetryBudget(),
--- a/internal/request/suspend_test.go
+++ b/internal/request/suspend_test.go
@@ -44,10 +44,10 @@
 func TestSlotGrantedBeforeSuspensionIsReturned(t *testing.T) {
 	var total atomic.Int64
 	stepped := clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true })
-	ctl := &slotControl{at: stepped.Now()}
+	ctrl := &slotControl{at: stepped.Now()}
 	prints, err := fingerprint.NewKey("a secret of the fleet")
 	require.NoError(t, err)
-	s := NewServer(ctl, conn.NewUpstreams(conn.DefaultLimits), prints, DefaultLimits, metrics.NewRegistry())
+	s := NewServer(ctrl, conn.NewUpstreams(conn.DefaultLimits), prints, DefaultLimits, metrics.NewRegistry())
 	s.clock = stepped
 	ticket := NewTicket(1)
 	ticket.Decide(Decision{Upstream: &version.Upstream{Name: "u", Address: "127.0.0.1:1"}, At: stepped.Now()})
@@ -57,6 +57,6 @@
 	v := &callerRequest{w: w, r: req, org: &version.Organisation{}, terms: caller.Terms{ID: "r1"}, span: trace.SpanFromContext(req.Context())}
 	r := &run{s: s, req: v, app: &version.Application{}, ticket: ticket, ctx: req.Context()}
 	r.loop()
-	assert.Equal(t, 1, ctl.returned)
+	assert.Equal(t, 1, ctrl.returned)
 	assert.Zero(t, r.attempts, "nothing was sent")
 }
