--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -56,8 +56,8 @@
 	p.finishWithUsage(true)
 	p.writeHeader(p.res.Response, outcome.Answered, len(raw))
 	p.s.count.outcome(outcome.Answered, "")
-	p.req.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
-	_, _ = p.req.w.Write(raw) // the caller may be gone; the answer was whole
+	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
+	_, _ = p.v.w.Write(raw) // the caller may be gone; the answer was whole
 	return true
 }
 
@@ -108,7 +108,7 @@
 			p.complete()
 			return true
 		}
-		if p.req.r.Context().Err() != nil {
+		if p.v.r.Context().Err() != nil {
 			return p.callerGone()
 		}
 		if p.ctx.Err() != nil || resumes >= maxResumes || err == errCallerGone {
@@ -124,9 +124,9 @@
 func (p *answer) complete() {
 	p.answeredWhole()
 	p.finishWithUsage(true)
-	p.req.w.Header().Set(http.TrailerPrefix+outcome.HeaderOutcome, string(outcome.Answered))
+	p.v.w.Header().Set(http.TrailerPrefix+outcome.HeaderOutcome, string(outcome.Answered))
 	p.s.count.outcome(outcome.Answered, "")
-	p.req.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
+	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
 }
 
 // errCallerGone is a failure to write to the caller.
@@ -183,13 +183,13 @@
 		p.headerSent = true
 		p.writeHeader(p.res.Response, "", -1)
 	}
-	if _, err := p.req.w.Write(e.Raw); err != nil {
+	if _, err := p.v.w.Write(e.Raw); err != nil {
 		return err
 	}
 	if !e.Done() && len(e.Data) > 0 {
 		p.countTokens(e.Data)
 	}
-	return http.NewResponseController(p.req.w).Flush()
+	return http.NewResponseController(p.v.w).Flush()
 }
 
 // countTokens updates the service received with each event, so that a long answer counts
@@ -249,6 +249,6 @@
 	p.reportBrokenAttempt(p.upstream, p.events == 0)
 	p.finishWithUsage(false)
 	p.s.count.outcome(outcome.Unknown, outcome.ReasonBroken)
-	p.req.span.SetAttributes(attribute.String("outcome", string(outcome.Unknown)))
+	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Unknown)))
 	panic(http.ErrAbortHandler) // makes net/http abort the connection, which the caller sees
 }
--- a/internal/request/forward/server.go
+++ b/internal/request/forward/server.go
@@ -55,27 +55,27 @@
 
 // callerRequest is one request, from its headers to its outcome.
 type callerRequest struct {
-	s                 *Server
-	w                 http.ResponseWriter
-	r                 *http.Request
-	id                string
-	arrived           time.Time
-	table             *routing.Table
-	route             *routing.Route
-	service           string // drawn once from the route's traffic split
-	org               string
-	priority          int
-	regions           routing.Regions
-	body              []byte
-	deadline          time.Time
-	prompt            prompt
-	cachedFingerprint *fingerprint.Fingerprint // computed on first use
+	s        *Server
+	w        http.ResponseWriter
+	r        *http.Request
+	id       string
+	arrived  time.Time
+	table    *routing.Table
+	route    *routing.Route
+	service  string // drawn once from the route's traffic split
+	org      string
+	priority int
+	regions  routing.Regions
+	body     []byte
+	deadline time.Time
+	prompt   prompt
+	print    *fingerprint.Fingerprint // computed on first use
 }
 
 // fingerprint returns the fingerprint of the request's content. The body must have been
 // read. It is computed on first use, as it takes 24 us for a body of 40 KB.
 func (req *callerRequest) fingerprint() fingerprint.Fingerprint {
-	if req.cachedFingerprint == nil {
+	if req.print == nil {
 		f := req.s.key.Of(fingerprint.Content{
 			Organisation: req.org,
 			Method:       req.r.Method,
@@ -83,9 +83,9 @@
 			Target:       req.r.RequestURI,
 			Body:         req.body,
 		})
-		req.cachedFingerprint = &f
+		req.print = &f
 	}
-	return *req.cachedFingerprint
+	return *req.print
 }
 
 // startingRetryDelay is the Retry-After of a router that has no routing table yet.
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -15,7 +15,7 @@
 // contentFingerprint returns the fingerprint of the request's content, computed on first
 // use.
 func (r *run) contentFingerprint() fingerprint.Fingerprint {
-	if r.cachedFingerprint == nil {
+	if r.print == nil {
 		f := r.s.fingerprintKey.Of(fingerprint.Content{
 			Organisation: r.call.Organisation,
 			Method:       r.call.Method,
@@ -23,15 +23,15 @@
 			Target:       r.call.Path,
 			Body:         r.call.Body,
 		})
-		r.cachedFingerprint = &f
+		r.print = &f
 	}
-	return *r.cachedFingerprint
+	return *r.print
 }
 
 // crashes returns the quarantine state of the request. The fingerprint is computed only if
 // the organisation has requests during which upstreams crashed.
 func (r *run) crashes() quarantine.State {
-	known := r.s.ctrl.Quarantined(r.req.org.ID)
+	known := r.s.ctrl.Quarantined(r.v.org.ID)
 	if len(known) == 0 {
 		return quarantine.State{}
 	}
@@ -46,13 +46,13 @@
 // refuseQuarantined ends a quarantined request. With doubt the outcome is unknown: an
 // earlier attempt may have run, or an earlier request with the same key.
 func (r *run) refuseQuarantined(left time.Duration, doubt bool) {
-	r.s.failRequest(r.req, outcome.Refused(entry.ReasonCrashes, left, doubt))
+	r.s.failRequest(r.v, outcome.Refused(entry.ReasonCrashes, left, doubt))
 }
 
 // reportBrokenAttempt reports to the control state that the upstream may have run the
 // request and gave no whole answer. early is true if the answer had not begun.
 func (r *run) reportBrokenAttempt(u *version.Upstream, early bool) {
-	r.s.ctrl.Broke(core.Broke{Content: r.contentFingerprint(), Org: r.req.org.ID, Upstream: u.ID, Began: r.sentAt, Early: early})
+	r.s.ctrl.Broke(core.Broke{Content: r.contentFingerprint(), Org: r.v.org.ID, Upstream: u.ID, Began: r.sentAt, Early: early})
 }
 
 // reportRefusedConnection reports to the control state if the connection was refused: the
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -29,18 +29,18 @@
 
 // run executes one request, from its ticket to its outcome.
 type run struct {
-	s                 *Server
-	req               *callerRequest
-	app               *version.Application
-	call              relay.Call
-	streams           bool
-	ticket            *Ticket
-	ctx               context.Context
-	deadline          time.Time
-	attempts          int
-	mayHaveRun        bool                     // an attempt so far may have run the request
-	sentAt            time.Time                // of the latest attempt, by the server's clock
-	cachedFingerprint *fingerprint.Fingerprint // computed on first use
+	s          *Server
+	v          *callerRequest
+	app        *version.Application
+	call       relay.Call
+	streams    bool
+	ticket     *Ticket
+	ctx        context.Context
+	deadline   time.Time
+	attempts   int
+	mayHaveRun bool                     // an attempt so far may have run the request
+	sentAt     time.Time                // of the latest attempt, by the server's clock
+	print      *fingerprint.Fingerprint // computed on first use
 }
 
 // loop waits for slots and makes attempts until there is an outcome.
@@ -70,14 +70,14 @@
 func (r *run) wait() (Decision, bool) {
 	_, span := r.s.tracer.Start(r.ctx, "queue")
 	defer span.End()
-	d, ok := r.ticket.Wait(r.req.r.Context())
+	d, ok := r.ticket.Wait(r.v.r.Context())
 	if !ok {
 		r.abandon()
 		return d, false
 	}
 	if d.Upstream == nil {
 		span.SetAttributes(attribute.String("refused", string(d.Refusal.Reason)))
-		r.s.failRequest(r.req, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.Doubt))
+		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.Doubt))
 		return d, false
 	}
 	_, grant := r.s.tracer.Start(r.ctx, "grant", trace.WithTimestamp(d.At), trace.WithAttributes(attribute.String("upstream", d.Upstream.Name)))
@@ -130,7 +130,7 @@
 		return false
 	}
 	r.finish(wire.Sample{Failed: 1}, false)
-	r.s.failRequest(r.req, outcome.Refused(entry.ReasonNoUpstream, time.Second, false))
+	r.s.failRequest(r.v, outcome.Refused(entry.ReasonNoUpstream, time.Second, false))
 	return true
 }
 
@@ -139,7 +139,7 @@
 func (r *run) failed(u *version.Upstream, id string, res relay.Result) bool {
 	r.mayHaveRun = true
 	r.reportBrokenAttempt(u, true)
-	gone := r.req.r.Context().Err() != nil
+	gone := r.v.r.Context().Err() != nil
 	if gone || r.ctx.Err() != nil {
 		relay.Cancel(r.s.upstreams, u, id, r.call.Organisation)
 	}
@@ -157,7 +157,7 @@
 	if r.ctx.Err() != nil {
 		status = http.StatusGatewayTimeout
 	}
-	r.s.failRequest(r.req, outcome.Failure{Kind: outcome.Unknown, Status: status, Reason: reason, Detail: "the upstream gave no whole answer; the request may have run"})
+	r.s.failRequest(r.v, outcome.Failure{Kind: outcome.Unknown, Status: status, Reason: reason, Detail: "the upstream gave no whole answer; the request may have run"})
 	return true
 }
 
@@ -175,20 +175,20 @@
 // writeHeader sends the answer's headers. The outcome header is left out if kind is empty,
 // and the length if it is negative.
 func (r *run) writeHeader(res *http.Response, kind outcome.Kind, length int) {
-	h := r.req.w.Header()
+	h := r.v.w.Header()
 	for _, name := range forwardedHeaders {
 		if v, ok := res.Header[name]; ok {
 			h[name] = v
 		}
 	}
-	h.Set(outcome.HeaderRequestID, r.req.terms.ID)
+	h.Set(outcome.HeaderRequestID, r.v.terms.ID)
 	if kind != "" {
 		h.Set(outcome.HeaderOutcome, string(kind))
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.Itoa(length))
 	}
-	r.req.w.WriteHeader(res.StatusCode)
+	r.v.w.WriteHeader(res.StatusCode)
 }
 
 // readWhole reads an answer that is not a stream. An answer that is cut short or exceeds
--- a/internal/request/server.go
+++ b/internal/request/server.go
@@ -293,7 +293,7 @@
 	call.Header = v.r.Header
 	call.Organisation = v.org.Name
 	call.Repeatable = app.Idempotent
-	run := &run{s: s, req: v, app: app, call: call, streams: streams, ctx: ctx, deadline: deadline}
+	run := &run{s: s, v: v, app: app, call: call, streams: streams, ctx: ctx, deadline: deadline}
 	if left := run.quarantinedFor(); left > 0 {
 		run.refuseQuarantined(left, idempotencyKey != nil)
 		return
