--- a/internal/conn/exchange_test.go
+++ b/internal/conn/exchange_test.go
@@ -130,15 +130,15 @@
 }
 
 func TestNoUnreadSeesUnreadBytes(t *testing.T) {
-	near := make(chan net.Conn, 1)
-	addr := serveRaw(t, func(c net.Conn) { near <- c })
-	far, err := net.Dial("tcp", addr)
+	accepted := make(chan net.Conn, 1)
+	addr := serveRaw(t, func(c net.Conn) { accepted <- c })
+	client, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer far.Close()
-	c := <-near
+	defer client.Close()
+	c := <-accepted
 	defer c.Close()
 	assert.True(t, NoUnread(c))
-	_, err = far.Write([]byte("x"))
+	_, err = client.Write([]byte("x"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return !NoUnread(c) }, 5*time.Second, time.Millisecond)
 	one := make([]byte, 1)
--- a/internal/conn/inflight.go
+++ b/internal/conn/inflight.go
@@ -11,27 +11,27 @@
 
 func newInFlight() inFlight { return inFlight{byStart: map[string]map[*Exchange]bool{}} }
 
-func (b *inFlight) add(x *Exchange) {
+func (f *inFlight) add(x *Exchange) {
 	if x.upstreamStart == "" {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.byStart[x.upstreamStart] == nil {
-		b.byStart[x.upstreamStart] = map[*Exchange]bool{}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byStart[x.upstreamStart] == nil {
+		f.byStart[x.upstreamStart] = map[*Exchange]bool{}
 	}
-	b.byStart[x.upstreamStart][x] = true
+	f.byStart[x.upstreamStart][x] = true
 }
 
-func (b *inFlight) remove(x *Exchange) {
+func (f *inFlight) remove(x *Exchange) {
 	if x.upstreamStart == "" {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.byStart[x.upstreamStart], x)
-	if len(b.byStart[x.upstreamStart]) == 0 {
-		delete(b.byStart, x.upstreamStart)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.byStart[x.upstreamStart], x)
+	if len(f.byStart[x.upstreamStart]) == 0 {
+		delete(f.byStart, x.upstreamStart)
 	}
 }
 
--- a/internal/conn/peersocket.go
+++ b/internal/conn/peersocket.go
@@ -53,47 +53,47 @@
 // Send seals and sends a datagram, and returns its size with UDP and IP headers. Failures
 // are only counted, and 0 is returned: the sender's state is sent repeatedly, which makes
 // up for lost datagrams.
-func (r *PeerSocket) Send(to wire.NodeID, d *wire.Datagram) int {
+func (s *PeerSocket) Send(to wire.NodeID, d *wire.Datagram) int {
 	ap, err := netip.ParseAddrPort(string(to))
 	if err != nil {
-		r.SendFailures.Inc(1)
+		s.SendFailures.Inc(1)
 		return 0
 	}
 	raw, err := wire.Encode(d)
 	if err != nil {
-		r.SendFailures.Inc(1)
+		s.SendFailures.Inc(1)
 		return 0
 	}
-	sealed := r.sealer.Seal(raw, additionalData(r.self, to))
-	if _, err := r.sock.WriteToUDPAddrPort(sealed, ap); err != nil {
-		r.SendFailures.Inc(1)
+	sealed := s.sealer.Seal(raw, additionalData(s.self, to))
+	if _, err := s.sock.WriteToUDPAddrPort(sealed, ap); err != nil {
+		s.SendFailures.Inc(1)
 		return 0
 	}
 	bytes := len(sealed) + ipUDPHeaderBytes
-	r.SentDatagrams.Inc(1)
-	r.SentBytes.Inc(int64(bytes))
+	s.SentDatagrams.Inc(1)
+	s.SentBytes.Inc(int64(bytes))
 	return bytes
 }
 
 // Receive returns the next datagram. Datagrams that are not sealed by this fleet for this
 // router are counted and dropped. An error means that the socket is closed.
-func (r *PeerSocket) Receive(buf []byte) (*wire.Datagram, error) {
+func (s *PeerSocket) Receive(buf []byte) (*wire.Datagram, error) {
 	for {
-		n, src, err := r.sock.ReadFromUDPAddrPort(buf)
+		n, src, err := s.sock.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return nil, ErrPeer.Wrap(err, "receive")
 		}
-		r.ReceivedDatagrams.Inc(1)
-		r.ReceivedBytes.Inc(int64(n + ipUDPHeaderBytes))
+		s.ReceivedDatagrams.Inc(1)
+		s.ReceivedBytes.Inc(int64(n + ipUDPHeaderBytes))
 		from := wire.NodeID(netip.AddrPortFrom(src.Addr().Unmap(), src.Port()).String())
-		raw, err := r.sealer.Open(buf[:n], additionalData(from, r.self))
+		raw, err := s.sealer.Open(buf[:n], additionalData(from, s.self))
 		if err != nil {
-			r.Refused.Inc(1)
+			s.Refused.Inc(1)
 			continue
 		}
 		d, err := wire.Decode(raw)
 		if err != nil {
-			r.Refused.Inc(1)
+			s.Refused.Inc(1)
 			continue
 		}
 		d.From = from
@@ -103,8 +103,8 @@
 
 // HasUnread reports whether a datagram has arrived that was not read yet. It may be called
 // by any goroutine.
-func (r *PeerSocket) HasUnread() bool {
-	n, _, known := peek(r.sock)
+func (s *PeerSocket) HasUnread() bool {
+	n, _, known := peek(s.sock)
 	return known && n > 0
 }
 
@@ -115,4 +115,4 @@
 }
 
 // Close closes the socket.
-func (r *PeerSocket) Close() error { return r.sock.Close() }
+func (s *PeerSocket) Close() error { return s.sock.Close() }
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -127,17 +127,17 @@
 
 var errHeaderTooLarge = errors.New("the response header is too large")
 
-func (b *limitedReader) setLimit(n int) { b.remaining = n }
+func (l *limitedReader) setLimit(n int) { l.remaining = n }
 
-func (b *limitedReader) Read(p []byte) (int, error) {
-	if b.remaining == unlimited {
-		return b.r.Read(p)
+func (l *limitedReader) Read(p []byte) (int, error) {
+	if l.remaining == unlimited {
+		return l.r.Read(p)
 	}
-	if b.remaining == 0 {
+	if l.remaining == 0 {
 		return 0, errHeaderTooLarge
 	}
-	n, err := b.r.Read(p[:min(len(p), b.remaining)])
-	b.remaining -= n
+	n, err := l.r.Read(p[:min(len(p), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
 
--- a/internal/conn/upstream.go
+++ b/internal/conn/upstream.go
@@ -40,9 +40,9 @@
 
 // NewUpstreams returns transports without open connections.
 func NewUpstreams(l Limits) *Upstreams {
-	pooled, once := newTransport(l), newTransport(l)
-	once.DisableKeepAlives = true
-	return &Upstreams{Pooled: pooled, SingleUse: once, transports: []*http.Transport{pooled}}
+	pooled, singleUse := newTransport(l), newTransport(l)
+	singleUse.DisableKeepAlives = true
+	return &Upstreams{Pooled: pooled, SingleUse: singleUse, transports: []*http.Transport{pooled}}
 }
 
 func newTransport(l Limits) *http.Transport {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -59,9 +59,9 @@
 
 func TestSlotAndMemoryLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fig := DefaultConfig
-		fig.Slots, fig.MemoryTokens = rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(2000, 20_000).Draw(t, "memory")
-		e := New(fig, start)
+		cfg := DefaultConfig
+		cfg.Slots, cfg.MemoryTokens = rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(2000, 20_000).Draw(t, "memory")
+		e := New(cfg, start)
 		now, open := start, map[uint64]bool{}
 		for i := range uint64(rapid.IntRange(1, 60).Draw(t, "requests")) {
 			r := Request{ID: i, Output: rapid.IntRange(1, 60).Draw(t, "output")}
@@ -78,11 +78,11 @@
 				}
 			}
 			_, running := e.Load()
-			if running > fig.Slots {
-				t.Fatalf("%d requests run in %d slots", running, fig.Slots)
+			if running > cfg.Slots {
+				t.Fatalf("%d requests run in %d slots", running, cfg.Slots)
 			}
-			if e.cachedTokens > 0 && e.cachedTokens+e.decoded() > fig.MemoryTokens {
-				t.Fatalf("%d cached and %d decoded tokens in a memory of %d", e.cachedTokens, e.decoded(), fig.MemoryTokens)
+			if e.cachedTokens > 0 && e.cachedTokens+e.decoded() > cfg.MemoryTokens {
+				t.Fatalf("%d cached and %d decoded tokens in a memory of %d", e.cachedTokens, e.decoded(), cfg.MemoryTokens)
 			}
 		}
 		for _, ev := range e.Advance(now.Add(10 * time.Minute)) {
--- a/internal/process/appdaemon.go
+++ b/internal/process/appdaemon.go
@@ -90,7 +90,7 @@
 }
 
 func (d *AppDaemon) listen(reg metrics.Registry) error {
-	prints, err := fingerprint.NewKey(d.set.Secret)
+	fingerprintKey, err := fingerprint.NewKey(d.set.Secret)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 		callers.Close()
 		return ErrSettings.Wrap(err, "[router] operator_address = %q", d.set.Operator)
 	}
-	server := request.NewServer(d.ctrl, d.upstreams, prints, d.set.Limits, reg)
+	server := request.NewServer(d.ctrl, d.upstreams, fingerprintKey, d.set.Limits, reg)
 	d.callers = &http.Server{
 		Handler:           d.withCloseHint(server.Handler()),
 		ReadHeaderTimeout: d.set.HeadTime,
--- a/internal/process/controlloop.go
+++ b/internal/process/controlloop.go
@@ -51,9 +51,9 @@
 func (l *controlLoop) now() time.Time { return l.startTime.Add(l.clock.Since(l.startTime)) }
 
 // run runs the control goroutine until the context ends.
-func (l *controlLoop) run(ctx context.Context, every time.Duration, m stateMachine, log zerolog.Logger) {
+func (l *controlLoop) run(ctx context.Context, interval time.Duration, m stateMachine, log zerolog.Logger) {
 	defer close(l.done)
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/process/peercontent.go
+++ b/internal/process/peercontent.go
@@ -46,17 +46,17 @@
 
 // contentFor returns the content that a router at revision h lacks, or nil while there is no
 // table.
-func (rc *RoutedController) contentFor(h contentRevision, now time.Time) *content {
+func (rc *RoutedController) contentFor(have contentRevision, now time.Time) *content {
 	if len(rc.view.TableRaw) == 0 {
 		return nil
 	}
 	c := &content{Revision: rc.view.Revision, AsOf: rc.view.AsOf, TableRev: rc.view.TableRev, Sum: rc.view.Sum()}
-	if h.TableRev != rc.view.TableRev {
+	if have.TableRev != rc.view.TableRev {
 		c.TableRaw = rc.view.TableRaw
 	}
-	list, removed, known := rc.view.ChangesSince(h.AsOf)
+	list, removed, known := rc.view.ChangesSince(have.AsOf)
 	if known {
-		c.Base, c.Removed = h.AsOf, removed
+		c.Base, c.Removed = have.AsOf, removed
 	} else {
 		list = rc.view.Instances()
 	}
@@ -94,17 +94,17 @@
 
 // PackedContent returns the encoded content for a peer, or nil while there is none.
 func (rc *RoutedController) PackedContent(q conn.Query) []byte {
-	var h contentRevision
-	if err := cbor.Unmarshal(q.Have, &h); err != nil {
-		h = contentRevision{} // the peer gets the full content
+	var have contentRevision
+	if err := cbor.Unmarshal(q.Have, &have); err != nil {
+		have = contentRevision{} // the peer gets the full content
 	}
 	rc.contentCache.mu.Lock()
 	defer rc.contentCache.mu.Unlock()
 	now, publication := rc.now(), rc.publications.Load()
-	if p, known := rc.contentCache.entries[h]; known && p.publication == publication && now.Sub(p.at) < cachedContentTTL {
+	if p, known := rc.contentCache.entries[have]; known && p.publication == publication && now.Sub(p.at) < cachedContentTTL {
 		return p.raw
 	}
-	c, _ := query(&rc.controlLoop, contentTimeout, func(now time.Time) *content { return rc.contentFor(h, now) })
+	c, _ := query(&rc.controlLoop, contentTimeout, func(now time.Time) *content { return rc.contentFor(have, now) })
 	if c == nil {
 		return nil
 	}
@@ -113,12 +113,12 @@
 		rc.log.Error().Err(err).Msg("content-not-encoded")
 		return nil
 	}
-	rc.contentCache.put(h, cachedContent{raw, now, publication})
+	rc.contentCache.put(have, cachedContent{raw, now, publication})
 	return raw
 }
 
 // put adds an encoded answer and removes those that have expired.
-func (cache *contentCache) put(h contentRevision, new cachedContent) {
+func (cache *contentCache) put(have contentRevision, new cachedContent) {
 	if cache.entries == nil {
 		cache.entries = map[contentRevision]cachedContent{}
 	}
@@ -127,7 +127,7 @@
 			delete(cache.entries, other)
 		}
 	}
-	cache.entries[h] = new
+	cache.entries[have] = new
 }
 
 // knownRevision returns the revision that this router states in a content request. It
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -131,7 +131,7 @@
 }
 
 // watch polls a value while wanted returns true, and passes each new one to take.
-func (p *Platform) watch(ctx context.Context, name string, wanted func() bool, take func([]byte)) {
+func (p *Platform) watch(ctx context.Context, name string, wanted func() bool, handle func([]byte)) {
 	after := ""
 	pause := minPlatformRetryPause
 	for ctx.Err() == nil {
@@ -150,7 +150,7 @@
 		pause = minPlatformRetryPause
 		if raw != nil {
 			after = rev
-			take(raw)
+			handle(raw)
 		}
 	}
 }
--- a/internal/process/prefixcache.go
+++ b/internal/process/prefixcache.go
@@ -96,12 +96,12 @@
 func (p *prefixCachePoller) forgetOthers(engines []routing.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := map[string]bool{}
+	scheduled := map[string]bool{}
 	for _, e := range engines {
-		now[e.StartID()] = true
+		scheduled[e.StartID()] = true
 	}
 	for id := range p.states {
-		if !now[id] {
+		if !scheduled[id] {
 			delete(p.states, id)
 		}
 	}
--- a/internal/process/routeddaemon.go
+++ b/internal/process/routeddaemon.go
@@ -63,7 +63,7 @@
 // StartRouted opens all listeners and starts serving. On error it closes whatever it has
 // opened.
 func StartRouted(set Settings, dep Deployment, log zerolog.Logger) (*RoutedDaemon, error) {
-	src, names := dep.Source, dep.HeaderNames
+	source, dialect := dep.Source, dep.HeaderNames
 	setMemoryLimit(set.MemoryMB)
 	reg := metrics.NewRegistry()
 	sealer, err := conn.NewSealer(set.Secret, "route")
@@ -84,13 +84,13 @@
 		d.close()
 		return nil, err
 	}
-	d.ctrl = NewRoutedController(d.dispatchSettings(), src, d.peerSocket, sealer, d.exchanges, log)
+	d.ctrl = NewRoutedController(d.dispatchSettings(), source, d.peerSocket, sealer, d.exchanges, log)
 	d.ctrl.sent = newSentMetrics(reg)
 	if d.fetchServer, err = conn.ServeFetch(set.Peer, sealer, conn.Handlers{conn.MethodContent: d.ctrl.PackedContent, conn.MethodSnapshot: d.ctrl.PackedSnapshot}); err != nil {
 		d.close()
 		return nil, err
 	}
-	if d.callerServer, err = newCallerServer(set.Callers, forward.NewServer(d.ctrl, d.exchanges, names, key, limitsFor(set.MemoryMB), reg, log), set.Files, d.controlBehind, log); err != nil {
+	if d.callerServer, err = newCallerServer(set.Callers, forward.NewServer(d.ctrl, d.exchanges, dialect, key, limitsFor(set.MemoryMB), reg, log), set.Files, d.controlBehind, log); err != nil {
 		d.close()
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	}
 	d.ctrl.OnTable = d.callerServer.setLimits
 	go d.ctrl.Run(ctx)
-	go newSourceWatcher(src, d.ctrl, log, reg).run(ctx)
+	go newSourceWatcher(source, d.ctrl, log, reg).run(ctx)
 	if dep.PrefixCache != nil {
 		go newPrefixCachePoller(dep.PrefixCache(d.exchanges), d.ctrl, log, reg).run(ctx)
 	}
--- a/internal/process/schedlag.go
+++ b/internal/process/schedlag.go
@@ -46,12 +46,12 @@
 		}
 		l.previous[i] = c
 	}
-	now := 0.0
+	current := 0.0
 	if n > 0 {
-		now = sum / n * float64(time.Second)
+		current = sum / n * float64(time.Second)
 	}
 	mean := float64(l.mean.Load())
-	l.mean.Store(int64(mean + schedLagWeight*(now-mean)))
+	l.mean.Store(int64(mean + schedLagWeight*(current-mean)))
 }
 
 // bucketMidpoint returns the middle of a bucket. The outermost buckets are unbounded on one
--- a/internal/process/sentmetrics.go
+++ b/internal/process/sentmetrics.go
@@ -69,11 +69,11 @@
 }
 
 // count counts a datagram of the given size. near means that its receiver is in this place.
-func (m *sentMetrics) count(d *wire.Datagram, bytes int, near bool) {
+func (m *sentMetrics) count(d *wire.Datagram, bytes int, samePlace bool) {
 	p := purposeOf(d)
 	m.bytes[p].Inc(int64(bytes))
 	m.datagrams[p].Inc(1)
-	if !near {
+	if !samePlace {
 		m.otherPlaces.Inc(int64(bytes))
 	}
 }
--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -42,44 +42,44 @@
 }
 
 // deliver forwards the reply. It returns false if the request is to be tried again.
-func (p *answer) deliver() bool {
-	defer func() { p.res.Response.Body.Close() }()
-	if p.streams && strings.HasPrefix(p.res.Response.Header.Get("Content-Type"), eventStream) {
-		return p.deliverStream()
+func (a *answer) deliver() bool {
+	defer func() { a.res.Response.Body.Close() }()
+	if a.streams && strings.HasPrefix(a.res.Response.Header.Get("Content-Type"), eventStream) {
+		return a.deliverStream()
 	}
-	raw, err := readWhole(p.res.Response, p.s.limits.Answer)
+	raw, err := readWhole(a.res.Response, a.s.limits.Answer)
 	if err != nil {
-		return p.failed(p.upstream, p.attempt, relay.Result{State: relay.InDoubt, Err: err})
-	}
-	p.tokens = usage(raw)
-	p.answeredWhole()
-	p.finishWithUsage(true)
-	p.writeHeader(p.res.Response, outcome.Answered, len(raw))
-	p.s.count.outcome(outcome.Answered, "")
-	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
-	_, _ = p.v.w.Write(raw) // the caller may be gone; the answer was whole
+		return a.failed(a.upstream, a.attempt, relay.Result{State: relay.InDoubt, Err: err})
+	}
+	a.tokens = usage(raw)
+	a.answeredWhole()
+	a.finishWithUsage(true)
+	a.writeHeader(a.res.Response, outcome.Answered, len(raw))
+	a.s.count.outcome(outcome.Answered, "")
+	a.v.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
+	_, _ = a.v.w.Write(raw) // the caller may be gone; the answer was whole
 	return true
 }
 
 // finishWithUsage releases the slot and records the service received, in the application's
 // unit: tokens, or the application's worth per answered request (an unanswered one counts
 // nothing).
-func (p *answer) finishWithUsage(answered bool) {
-	tokens := float64(max(p.tokens, p.events))
-	if p.app.Unit == version.UnitAnswered {
+func (a *answer) finishWithUsage(answered bool) {
+	tokens := float64(max(a.tokens, a.events))
+	if a.app.Unit == version.UnitAnswered {
 		tokens = 0
 		if answered {
-			tokens = p.app.Worth
+			tokens = a.app.Worth
 		}
 	}
-	p.ticket.SetUnits(tokens)
-	p.finish(p.sample(), answered)
+	a.ticket.SetUnits(tokens)
+	a.finish(a.sample(), answered)
 }
 
-func (p *answer) sample() wire.Sample {
-	s := wire.Sample{N: 1, FirstMS: uint32(p.res.TimeToHeader.Milliseconds())}
-	if p.events > 1 {
-		s.GapMS = uint32(time.Since(p.began).Milliseconds() / (p.events - 1))
+func (a *answer) sample() wire.Sample {
+	s := wire.Sample{N: 1, FirstMS: uint32(a.res.TimeToHeader.Milliseconds())}
+	if a.events > 1 {
+		s.GapMS = uint32(time.Since(a.began).Milliseconds() / (a.events - 1))
 	}
 	return s
 }
@@ -101,58 +101,58 @@
 // upstream's connection ends early. A stream is whole when its final event has arrived.
 // Otherwise the caller's connection is aborted, so that no client takes a part of the answer
 // for the whole.
-func (p *answer) deliverStream() bool {
+func (a *answer) deliverStream() bool {
 	for resumes := 0; ; resumes++ {
-		done, err := p.copyEvents()
+		done, err := a.copyEvents()
 		if done {
-			p.complete()
+			a.complete()
 			return true
 		}
-		if p.v.r.Context().Err() != nil {
-			return p.callerGone()
+		if a.v.r.Context().Err() != nil {
+			return a.callerGone()
 		}
-		if p.ctx.Err() != nil || resumes >= maxResumes || err == errCallerGone {
-			return p.failStream()
+		if a.ctx.Err() != nil || resumes >= maxResumes || err == errCallerGone {
+			return a.failStream()
 		}
-		if !p.resume() {
-			return p.failStream()
+		if !a.resume() {
+			return a.failStream()
 		}
 	}
 }
 
 // complete ends a stream that was forwarded whole. The outcome is sent as a trailer.
-func (p *answer) complete() {
-	p.answeredWhole()
-	p.finishWithUsage(true)
-	p.v.w.Header().Set(http.TrailerPrefix+outcome.HeaderOutcome, string(outcome.Answered))
-	p.s.count.outcome(outcome.Answered, "")
-	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
+func (a *answer) complete() {
+	a.answeredWhole()
+	a.finishWithUsage(true)
+	a.v.w.Header().Set(http.TrailerPrefix+outcome.HeaderOutcome, string(outcome.Answered))
+	a.s.count.outcome(outcome.Answered, "")
+	a.v.span.SetAttributes(attribute.String("outcome", string(outcome.Answered)))
 }
 
 // errCallerGone is a failure to write to the caller.
 var errCallerGone = io.ErrClosedPipe
 
 // copyEvents forwards events until the final one or the end of the connection.
-func (p *answer) copyEvents() (done bool, err error) {
-	br := bufio.NewReaderSize(p.res.Response.Body, streamBufferBytes)
-	body := p.res.Response.Body
-	stall := time.AfterFunc(p.s.limits.StallTimeout, func() { body.Close() })
+func (a *answer) copyEvents() (done bool, err error) {
+	br := bufio.NewReaderSize(a.res.Response.Body, streamBufferBytes)
+	body := a.res.Response.Body
+	stall := time.AfterFunc(a.s.limits.StallTimeout, func() { body.Close() })
 	defer stall.Stop()
 	for {
-		e, err := stream.Read(br, p.buf)
-		p.buf = e.Raw
+		e, err := stream.Read(br, a.buf)
+		a.buf = e.Raw
 		if err != nil {
 			return false, err
 		}
-		stall.Reset(p.s.limits.StallTimeout)
-		pass, err := p.checkPosition(e)
+		stall.Reset(a.s.limits.StallTimeout)
+		pass, err := a.checkPosition(e)
 		if err != nil {
 			return false, err
 		}
 		if !pass {
 			continue
 		}
-		if err := p.writeEvent(e); err != nil {
+		if err := a.writeEvent(e); err != nil {
 			return false, errCallerGone
 		}
 		if e.Done() {
@@ -163,92 +163,92 @@
 
 // checkPosition reports whether to forward an event. A repeated event is dropped. A gap is
 // an error, after which the stream is resumed at the missing position.
-func (p *answer) checkPosition(e stream.Event) (bool, error) {
+func (a *answer) checkPosition(e stream.Event) (bool, error) {
 	if e.Position == stream.NoPosition {
 		return true, nil
 	}
-	if e.Position < p.next {
-		p.s.count.repeated.Inc(1)
+	if e.Position < a.next {
+		a.s.count.repeated.Inc(1)
 		return false, nil
 	}
-	if e.Position > p.next {
-		return false, stream.ErrEvent.New("position %d where %d was due", e.Position, p.next)
+	if e.Position > a.next {
+		return false, stream.ErrEvent.New("position %d where %d was due", e.Position, a.next)
 	}
-	p.next++
+	a.next++
 	return true, nil
 }
 
-func (p *answer) writeEvent(e stream.Event) error {
-	if !p.headerSent {
-		p.headerSent = true
-		p.writeHeader(p.res.Response, "", -1)
+func (a *answer) writeEvent(e stream.Event) error {
+	if !a.headerSent {
+		a.headerSent = true
+		a.writeHeader(a.res.Response, "", -1)
 	}
-	if _, err := p.v.w.Write(e.Raw); err != nil {
+	if _, err := a.v.w.Write(e.Raw); err != nil {
 		return err
 	}
 	if !e.Done() && len(e.Data) > 0 {
-		p.countTokens(e.Data)
+		a.countTokens(e.Data)
 	}
-	return http.NewResponseController(p.v.w).Flush()
+	return http.NewResponseController(a.v.w).Flush()
 }
 
 // countTokens updates the service received with each event, so that a long answer counts
 // while it is still running.
-func (p *answer) countTokens(data []byte) {
+func (a *answer) countTokens(data []byte) {
 	if strings.Contains(string(data), `"usage"`) {
 		if n := usage(data); n > 0 {
-			p.tokens = n
+			a.tokens = n
 			return
 		}
 	}
-	p.events++
-	if p.app.Unit == version.UnitTokens {
-		p.ticket.SetUnits(float64(p.events))
+	a.events++
+	if a.app.Unit == version.UnitTokens {
+		a.ticket.SetUnits(float64(a.events))
 	}
 }
 
 // resume reopens the stream at the next position. It returns false if the stream cannot be
 // resumed. If the upstream does not reply it returns true: the old body is closed, so the
 // next read fails and resume is called again, up to maxResumes times.
-func (p *answer) resume() bool {
-	p.res.Response.Body.Close()
-	p.s.count.resumed.Inc(1)
+func (a *answer) resume() bool {
+	a.res.Response.Body.Close()
+	a.s.count.resumed.Inc(1)
 	select {
 	case <-time.After(resumeDelay):
-	case <-p.ctx.Done():
+	case <-a.ctx.Done():
 		return false
 	}
-	r := relay.Resume(p.ctx, p.s.upstreams, p.upstream, p.attempt, p.call.Organisation, p.next)
-	p.reportRefusedConnection(p.upstream, r.Err)
+	r := relay.Resume(a.ctx, a.s.upstreams, a.upstream, a.attempt, a.call.Organisation, a.next)
+	a.reportRefusedConnection(a.upstream, r.Err)
 	if r.State != relay.Replied {
 		return r.State == relay.NotSent || r.State == relay.InDoubt
 	}
-	r.TimeToHeader = p.res.TimeToHeader
-	p.res = r
+	r.TimeToHeader = a.res.TimeToHeader
+	a.res = r
 	return r.Response.StatusCode == http.StatusOK
 }
 
 // callerGone cancels the request at the upstream. The slot is released once the upstream
 // has confirmed that, or relay.Cancel has timed out.
-func (p *answer) callerGone() bool {
-	p.stop()
-	p.reportBrokenAttempt(p.upstream, p.events == 0)
-	relay.Cancel(p.s.upstreams, p.upstream, p.attempt, p.call.Organisation)
-	p.finishWithUsage(false)
-	p.s.count.outcome(outcome.Unknown, outcome.ReasonCanceled)
+func (a *answer) callerGone() bool {
+	a.stop()
+	a.reportBrokenAttempt(a.upstream, a.events == 0)
+	relay.Cancel(a.s.upstreams, a.upstream, a.attempt, a.call.Organisation)
+	a.finishWithUsage(false)
+	a.s.count.outcome(outcome.Unknown, outcome.ReasonCanceled)
 	return true
 }
 
 // failStream ends a stream that cannot be completed.
-func (p *answer) failStream() bool {
-	p.stop()
-	relay.Cancel(p.s.upstreams, p.upstream, p.attempt, p.call.Organisation)
-	if !p.headerSent {
-		return p.failed(p.upstream, p.attempt, relay.Result{State: relay.InDoubt})
-	}
-	p.reportBrokenAttempt(p.upstream, p.events == 0)
-	p.finishWithUsage(false)
-	p.s.count.outcome(outcome.Unknown, outcome.ReasonBroken)
-	p.v.span.SetAttributes(attribute.String("outcome", string(outcome.Unknown)))
+func (a *answer) failStream() bool {
+	a.stop()
+	relay.Cancel(a.s.upstreams, a.upstream, a.attempt, a.call.Organisation)
+	if !a.headerSent {
+		return a.failed(a.upstream, a.attempt, relay.Result{State: relay.InDoubt})
+	}
+	a.reportBrokenAttempt(a.upstream, a.events == 0)
+	a.finishWithUsage(false)
+	a.s.count.outcome(outcome.Unknown, outcome.ReasonBroken)
+	a.v.span.SetAttributes(attribute.String("outcome", string(outcome.Unknown)))
 	panic(http.ErrAbortHandler) // makes net/http abort the connection, which the caller sees
 }
--- a/internal/request/forward/answerbuffer.go
+++ b/internal/request/forward/answerbuffer.go
@@ -22,15 +22,15 @@
 }
 
 // reserve reserves n bytes, or returns false if the limit is reached.
-func (h *answerBuffers) reserve(n int) bool {
-	if h.used.Add(int64(n)) > h.limit {
-		h.used.Add(int64(-n))
+func (b *answerBuffers) reserve(n int) bool {
+	if b.used.Add(int64(n)) > b.limit {
+		b.used.Add(int64(-n))
 		return false
 	}
 	return true
 }
 
-func (h *answerBuffers) release(n int) { h.used.Add(int64(-n)) }
+func (b *answerBuffers) release(n int) { b.used.Add(int64(-n)) }
 
 // bufferStepBytes is the size of the pieces in which memory for an answer is reserved.
 const bufferStepBytes = 4 << 10
@@ -44,10 +44,10 @@
 
 // read reads an answer until its end, or until the limit of buffered bytes is reached. The
 // caller must release the reserved bytes, also after an error.
-func (h *answerBuffers) read(body io.Reader) (a bufferedAnswer, err error) {
+func (b *answerBuffers) read(body io.Reader) (a bufferedAnswer, err error) {
 	for {
 		if len(a.raw) == a.reserved {
-			if !h.reserve(bufferStepBytes) {
+			if !b.reserve(bufferStepBytes) {
 				return a, nil
 			}
 			a.reserved += bufferStepBytes
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -289,17 +289,17 @@
 
 func newHarnessWithLimit(t *testing.T, maxRequests int, upstreams ...string) *harness {
 	t.Helper()
-	r := &harness{control: &fakeControl{table: testTable(t), upstreams: upstreams}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
-	r.server = NewServer(r.control, r.exchanges, testDialect, testKey(t), Limits{MaxRequests: r.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
-	s := httptest.NewServer(r.server)
-	t.Cleanup(func() { s.Close(); r.exchanges.Close() })
-	r.url = s.URL
-	return r
+	h := &harness{control: &fakeControl{table: testTable(t), upstreams: upstreams}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
+	h.server = NewServer(h.control, h.exchanges, testDialect, testKey(t), Limits{MaxRequests: h.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
+	s := httptest.NewServer(h.server)
+	t.Cleanup(func() { s.Close(); h.exchanges.Close() })
+	h.url = s.URL
+	return h
 }
 
-func (r *harness) do(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
+func (h *harness) do(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
-	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, h.url+path, strings.NewReader(body))
 	require.NoError(t, err)
 	req.Host = "h.example"
 	req.Header.Set("Authorization", "Bearer key-a")
--- a/internal/request/forward/healthcheck.go
+++ b/internal/request/forward/healthcheck.go
@@ -64,45 +64,45 @@
 }
 
 // latest returns the health of an upstream, at most healthCheckTTL old.
-func (l *healthChecker) latest(ctx context.Context, i routing.Instance, path string) healthResult {
-	k := l.entry(i.StartID())
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.latest.IsZero() && l.clock.Since(k.latest) < healthCheckTTL {
-		return k.result
+func (h *healthChecker) latest(ctx context.Context, i routing.Instance, path string) healthResult {
+	check := h.entry(i.StartID())
+	check.mu.Lock()
+	defer check.mu.Unlock()
+	if !check.latest.IsZero() && h.clock.Since(check.latest) < healthCheckTTL {
+		return check.result
 	}
-	k.result = l.probe(ctx, i, path)
-	k.latest = l.clock.Now()
-	return k.result
+	check.result = h.probe(ctx, i, path)
+	check.latest = h.clock.Now()
+	return check.result
 }
 
-func (l *healthChecker) entry(start string) *healthCheck {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	k := l.checks[start]
-	if k == nil {
-		if len(l.checks) >= maxHealthChecks {
-			clear(l.checks)
+func (h *healthChecker) entry(start string) *healthCheck {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	check := h.checks[start]
+	if check == nil {
+		if len(h.checks) >= maxHealthChecks {
+			clear(h.checks)
 		}
-		k = &healthCheck{}
-		l.checks[start] = k
+		check = &healthCheck{}
+		h.checks[start] = check
 	}
-	return k
+	return check
 }
 
 // probe requests an upstream's health. The status of the answer does not matter: any answer
 // states for how long the upstream is cold.
-func (l *healthChecker) probe(ctx context.Context, i routing.Instance, path string) healthResult {
-	ctx, stop := l.clock.WithDeadline(ctx, l.clock.Now().Add(healthCheckTimeout))
+func (h *healthChecker) probe(ctx context.Context, i routing.Instance, path string) healthResult {
+	ctx, stop := h.clock.WithDeadline(ctx, h.clock.Now().Add(healthCheckTimeout))
 	defer stop()
 	m := &conn.Message{Method: http.MethodGet, Target: path, Host: i.Address, Header: http.Header{}, UpstreamStart: i.StartID()}
-	x, err := l.exchanges.Send(ctx, i.Address, m, func(*http.Response) bool { return true })
+	x, err := h.exchanges.Send(ctx, i.Address, m, func(*http.Response) bool { return true })
 	if err != nil {
 		return healthResult{}
 	}
 	_, err = io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxHealthBodyBytes))
 	x.Close(err == nil)
-	return healthResult{reached: true, coldFor: l.dialect.coldFor(x.Response.Header)}
+	return healthResult{reached: true, coldFor: h.dialect.coldFor(x.Response.Header)}
 }
 
 // coldFor returns how much longer an upstream is cold.
--- a/internal/request/forward/loadshedder.go
+++ b/internal/request/forward/loadshedder.go
@@ -42,51 +42,51 @@
 // refuses counts an arriving request and reports whether to refuse it. fraction is the part
 // of all arrivals to be refused. covered is the part of this organisation's arrivals that
 // its share covers; the rest is refused even if fraction is 0.
-func (d *loadShedder) refuses(org string, fraction, covered float64, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.rotate(now)
+func (s *loadShedder) refuses(org string, fraction, covered float64, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rotate(now)
 	if covered < 1 && rand.Float64() >= covered {
-		d.now.beyondShare++
+		s.now.beyondShare++
 		return true
 	}
-	d.now.byOrg[org]++
-	d.now.covered++
+	s.now.byOrg[org]++
+	s.now.covered++
 	if fraction == 0 {
 		return false
 	}
-	if d.previous.covered == 0 {
+	if s.previous.covered == 0 {
 		return rand.Float64() < fraction
 	}
-	if fraction != d.fraction {
-		d.fraction, d.level = fraction, d.maxMinLevel(fraction)
+	if fraction != s.fraction {
+		s.fraction, s.level = fraction, s.maxMinLevel(fraction)
 	}
-	sent := float64(d.previous.byOrg[org])
-	return sent > d.level && rand.Float64() > d.level/sent
+	sent := float64(s.previous.byOrg[org])
+	return sent > s.level && rand.Float64() > s.level/sent
 }
 
 // rotate starts a new window when the current one is over.
-func (d *loadShedder) rotate(now time.Time) {
-	switch age := now.Sub(d.windowStart); {
+func (s *loadShedder) rotate(now time.Time) {
+	switch age := now.Sub(s.windowStart); {
 	case age >= 2*shedWindow:
-		d.previous, d.now = newArrivals(), newArrivals()
+		s.previous, s.now = newArrivals(), newArrivals()
 	case age >= shedWindow:
-		d.previous, d.now = d.now, newArrivals()
+		s.previous, s.now = s.now, newArrivals()
 	default:
 		return
 	}
-	d.windowStart, d.fraction = now, 0
+	s.windowStart, s.fraction = now, 0
 }
 
 // maxMinLevel returns the cap per organisation at which the previous window's arrivals add
 // up to what is to be admitted when the fraction is refused.
-func (d *loadShedder) maxMinLevel(fraction float64) float64 {
-	counts := make([]int, 0, len(d.previous.byOrg))
-	for _, n := range d.previous.byOrg {
+func (s *loadShedder) maxMinLevel(fraction float64) float64 {
+	counts := make([]int, 0, len(s.previous.byOrg))
+	for _, n := range s.previous.byOrg {
 		counts = append(counts, n)
 	}
 	sort.Ints(counts)
-	left := (1 - fraction) * float64(d.previous.covered+d.previous.beyondShare)
+	left := (1 - fraction) * float64(s.previous.covered+s.previous.beyondShare)
 	for i, n := range counts {
 		even := left / float64(len(counts)-i)
 		if float64(n) > even {
--- a/internal/request/forward/loadshedder_test.go
+++ b/internal/request/forward/loadshedder_test.go
@@ -10,7 +10,7 @@
 // A flood from one organisation overloads a router. The router must not shed the requests
 // of all organisations alike.
 func TestFloodingOrganisationIsShedFirst(t *testing.T) {
-	d := newLoadShedder()
+	shedder := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
 	const fraction = 0.5 // of all requests are to be refused
 	refused, sent := map[string]int{}, map[string]int{}
@@ -21,17 +21,17 @@
 			org = "small"
 		}
 		sent[org]++
-		if d.refuses(org, fraction, 1, now) {
+		if shedder.refuses(org, fraction, 1, now) {
 			refused[org]++
 		}
 	}
 	assert.Less(t, refused["small"], sent["small"]/20)
 	all := float64(refused["flood"]+refused["small"]) / 20_000
 	assert.InDelta(t, 0.5, all, 0.05)
-	assert.False(t, d.refuses("flood", 0, 1, now), "a router that is not overloaded refuses nothing")
+	assert.False(t, shedder.refuses("flood", 0, 1, now), "a router that is not overloaded refuses nothing")
 	shed := 0
 	for range 100 {
-		if d.refuses("flood", 0.9, 1, now) {
+		if shedder.refuses("flood", 0.9, 1, now) {
 			shed++
 		}
 	}
@@ -42,7 +42,7 @@
 // from an organisation whose share covered 25, and read the replies too late. Requests beyond
 // the shares are shed first; if that is enough, nothing else is refused.
 func TestRequestsBeyondSharesAreShedFirst(t *testing.T) {
-	d := newLoadShedder()
+	shedder := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
 	refused, sent := map[string]int{}, map[string]int{}
 	for i := range 20_000 {
@@ -52,11 +52,11 @@
 			org, covered = "large", 1
 		}
 		sent[org]++
-		if d.refuses(org, 0.5, covered, now) {
+		if shedder.refuses(org, 0.5, covered, now) {
 			refused[org]++
 		}
 	}
 	assert.InDelta(t, 0.95, float64(refused["flood"])/float64(sent["flood"]), 0.02)
 	assert.Less(t, refused["large"], sent["large"]/20, "although it sends most of the requests within shares")
-	assert.True(t, d.refuses("flood", 0, 0, now), "also while the CPU keeps up")
+	assert.True(t, shedder.refuses("flood", 0, 0, now), "also while the CPU keeps up")
 }
--- a/internal/request/forward/requestlog.go
+++ b/internal/request/forward/requestlog.go
@@ -35,14 +35,14 @@
 
 // allow reports whether another line may be written. The first call in a period also
 // returns how many lines were left out since that was last reported.
-func (b *lineLimiter) allow(now time.Time) (ok bool, leftOut int64) {
+func (l *lineLimiter) allow(now time.Time) (ok bool, leftOut int64) {
 	period := now.UnixNano() / int64(logPeriod)
-	if old := b.period.Load(); old != period && b.period.CompareAndSwap(old, period) {
-		b.used.Store(0)
-		leftOut = b.leftOut.Swap(0)
+	if old := l.period.Load(); old != period && l.period.CompareAndSwap(old, period) {
+		l.used.Store(0)
+		leftOut = l.leftOut.Swap(0)
 	}
-	if b.used.Add(1) > b.limit {
-		b.leftOut.Add(1)
+	if l.used.Add(1) > l.limit {
+		l.leftOut.Add(1)
 		return false, leftOut
 	}
 	return true, leftOut
@@ -61,8 +61,8 @@
 // notice returns an event to log an upstream's notice, or nil if the limit is reached.
 func (l *requestLog) notice() *zerolog.Event { return l.event(&l.notices, "notices") }
 
-func (l *requestLog) event(b *lineLimiter, what string) *zerolog.Event {
-	ok, leftOut := b.allow(time.Now())
+func (l *requestLog) event(limiter *lineLimiter, what string) *zerolog.Event {
+	ok, leftOut := limiter.allow(time.Now())
 	if leftOut > 0 {
 		l.log.Info().Str("of", what).Int64("lines", leftOut).Msg("lines-left-out")
 	}
--- a/internal/request/forward/run.go
+++ b/internal/request/forward/run.go
@@ -172,15 +172,15 @@
 
 // message builds the request to the upstream.
 func (r *run) message(p *dispatch.Placement) *conn.Message {
-	n := &r.s.dialect
-	h := n.upstreamHeader(r.r.Header)
-	h.Set(n.ExpectInstance, p.Instance.ID)
-	h.Set(n.Deadline, strconv.FormatInt(max(1, r.s.clock.Until(r.deadline).Milliseconds()), 10))
+	d := &r.s.dialect
+	h := d.upstreamHeader(r.r.Header)
+	h.Set(d.ExpectInstance, p.Instance.ID)
+	h.Set(d.Deadline, strconv.FormatInt(max(1, r.s.clock.Until(r.deadline).Milliseconds()), 10))
 	if r.org != "" {
-		h.Set(n.Organisation, r.org)
+		h.Set(d.Organisation, r.org)
 	}
 	if p.Source != "" {
-		h.Set(n.CacheSource, p.Source)
+		h.Set(d.CacheSource, p.Source)
 	}
 	if r.headersSent && r.lastPosition > 0 {
 		h.Set(headerLastEventID, strconv.FormatInt(r.lastPosition, 10))
@@ -230,10 +230,10 @@
 }
 
 // withdraw requests another placement for a request that was not sent to the one it had.
-func (r *run) withdraw(p *dispatch.Placement, why Unusable) {
+func (r *run) withdraw(p *dispatch.Placement, reason Unusable) {
 	r.withdrawn++
 	r.s.count.withdrawn.Inc(1)
-	r.logAttempt(p, string(why), nil)
+	r.logAttempt(p, string(reason), nil)
 	r.s.ctrl.Again(r.ticket, wire.ProgressUnused)
 }
 
@@ -267,7 +267,7 @@
 func isNotSent(err error) bool { return conn.IsNotSent(err) }
 
 // logAttempt logs a failed or withdrawn attempt.
-func (r *run) logAttempt(p *dispatch.Placement, what string, err error) {
+func (r *run) logAttempt(p *dispatch.Placement, event string, err error) {
 	e := r.s.reqLog.failure()
 	if e == nil {
 		return
@@ -277,7 +277,7 @@
 	if err != nil {
 		e.AnErr("cause", err)
 	}
-	e.Stringer("fingerprint", r.fingerprint()).Int("attempt", r.attempts).Int64("position", r.lastPosition).Bool("may_have_run", r.mayHaveRun).Msg(what)
+	e.Stringer("fingerprint", r.fingerprint()).Int("attempt", r.attempts).Int64("position", r.lastPosition).Bool("may_have_run", r.mayHaveRun).Msg(event)
 }
 
 // logAnswered counts an answered request, and logs some of them.
--- a/internal/request/forward/watchdog_test.go
+++ b/internal/request/forward/watchdog_test.go
@@ -53,13 +53,13 @@
 	silent, _ := scriptedUpstream(t, head+chunk(event(1)))
 	other, got := scriptedUpstream(t, head+chunk(event(2))+"0\r\n\r\n")
 	r := newHarness(t, silent, other)
-	var fell atomic.Int64
-	r.exchanges.OnSilence = func(string, int) { fell.Add(1) }
+	var silences atomic.Int64
+	r.exchanges.OnSilence = func(string, int) { silences.Add(1) }
 	res, body, err := r.do(t, "POST", "/stream/x", "body")
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.Equal(t, event(1)+event(2), body)
 	require.Len(t, got(), 1)
 	assert.Equal(t, "1", got()[0].Header.Get("Last-Event-Id"))
-	assert.Equal(t, int64(1), fell.Load())
+	assert.Equal(t, int64(1), silences.Load())
 }
--- a/internal/request/outcome/outcome.go
+++ b/internal/request/outcome/outcome.go
@@ -65,16 +65,16 @@
 
 // Refused returns the failure for a refusal by the control state. With doubt an earlier
 // attempt with the same key may have run, so the outcome is unknown.
-func Refused(why entry.Reason, after time.Duration, doubt bool) Failure {
-	f := Failure{Kind: NotRun, Status: statusOf(why), Reason: string(why), Detail: refusalDetails[why], RetryDelay: after}
-	if doubt {
+func Refused(reason entry.Reason, after time.Duration, mayHaveRun bool) Failure {
+	f := Failure{Kind: NotRun, Status: statusOf(reason), Reason: string(reason), Detail: refusalDetails[reason], RetryDelay: after}
+	if mayHaveRun {
 		f.Kind = Unknown
 	}
 	return f
 }
 
-func statusOf(why entry.Reason) int {
-	switch why {
+func statusOf(reason entry.Reason) int {
+	switch reason {
 	case entry.ReasonQueueFull:
 		return http.StatusTooManyRequests
 	case entry.ReasonWithdrawn:
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -45,8 +45,8 @@
 
 // refuseQuarantined ends a quarantined request. With doubt the outcome is unknown: an
 // earlier attempt may have run, or an earlier request with the same key.
-func (r *run) refuseQuarantined(left time.Duration, doubt bool) {
-	r.s.failRequest(r.v, outcome.Refused(entry.ReasonCrashes, left, doubt))
+func (r *run) refuseQuarantined(left time.Duration, mayHaveRun bool) {
+	r.s.failRequest(r.v, outcome.Refused(entry.ReasonCrashes, left, mayHaveRun))
 }
 
 // reportBrokenAttempt reports to the control state that the upstream may have run the
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -109,8 +109,8 @@
 	}
 	switch res.State {
 	case relay.Replied:
-		p := &answer{run: r, upstream: u, attempt: id, res: res, ctx: ctx, stop: stop, began: time.Now()}
-		return p.deliver()
+		a := &answer{run: r, upstream: u, attempt: id, res: res, ctx: ctx, stop: stop, began: time.Now()}
+		return a.deliver()
 	case relay.NotSent, relay.NotStarted:
 		r.reportRefusedConnection(u, res.Err)
 		span.SetAttributes(attribute.Bool("not_run", true))
--- a/internal/request/suspend_test.go
+++ b/internal/request/suspend_test.go
@@ -45,9 +45,9 @@
 	var total atomic.Int64
 	stepped := clock.New(func() (time.Duration, bool) { return time.Duration(total.Load()), true })
 	ctrl := &slotControl{at: stepped.Now()}
-	prints, err := fingerprint.NewKey("a secret of the fleet")
+	fingerprintKey, err := fingerprint.NewKey("a secret of the fleet")
 	require.NoError(t, err)
-	s := NewServer(ctrl, conn.NewUpstreams(conn.DefaultLimits), prints, DefaultLimits, metrics.NewRegistry())
+	s := NewServer(ctrl, conn.NewUpstreams(conn.DefaultLimits), fingerprintKey, DefaultLimits, metrics.NewRegistry())
 	s.clock = stepped
 	ticket := NewTicket(1)
 	ticket.Decide(Decision{Upstream: &version.Upstream{Name: "u", Address: "127.0.0.1:1"}, At: stepped.Now()})
--- a/internal/routing/changes.go
+++ b/internal/routing/changes.go
@@ -60,14 +60,14 @@
 }
 
 // recordPut records that an instance is listed, in place of its previous entry, if any.
-func (j *journal) recordPut(now Instance, before *entry) {
-	delete(j.removed, now.ID)
-	if before != nil && before.inst == now {
+func (j *journal) recordPut(listed Instance, before *entry) {
+	delete(j.removed, listed.ID)
+	if before != nil && before.inst == listed {
 		return
 	}
-	j.put[now.ID] = true
-	if before != nil && before.inst.StartID() != now.StartID() {
-		j.ended = append(j.ended, Ended{Instance: before.inst, Restarted: now.Born > before.inst.Born})
+	j.put[listed.ID] = true
+	if before != nil && before.inst.StartID() != listed.StartID() {
+		j.ended = append(j.ended, Ended{Instance: before.inst, Restarted: listed.Born > before.inst.Born})
 	}
 }
 
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -61,18 +61,18 @@
 }
 
 // leave makes the upstream leave.
-func (g *leaveState) leave(w http.ResponseWriter, _ *http.Request) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.leaving = true
+func (s *leaveState) leave(w http.ResponseWriter, _ *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.leaving = true
 	writeJSON(w, map[string]bool{"leaving": true})
 }
 
 // refuseIfLeaving answers with a refusal and returns true if the upstream is leaving.
-func (g *leaveState) refuseIfLeaving(w http.ResponseWriter, r *http.Request) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.leaving {
+func (s *leaveState) refuseIfLeaving(w http.ResponseWriter, r *http.Request) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.leaving {
 		return false
 	}
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
