--- a/cmd/silverswitchd/main.go
+++ b/cmd/silverswitchd/main.go
@@ -30,7 +30,7 @@
 	os.Exit(run())
 }
 
-// run parses the flags, and serves until the process is told to stop.
+// run parses the flags, and serves until a signal stops the process.
 func run() int {
 	path := flag.String("settings", "silverswitchd.ini", "settings `file`")
 	check := flag.String("check", "", "check a settings `file`, and end")
--- a/cmd/silverswitchd/process_test.go
+++ b/cmd/silverswitchd/process_test.go
@@ -349,7 +349,7 @@
 	wg.Wait()
 	assert.Zero(t, bad.Load(), "%v", f.details)
 	assert.Greater(t, ok.Load(), int64(100))
-	t.Logf("%d streams whole", ok.Load())
+	t.Logf("%d streams complete", ok.Load())
 }
 
 // Killing a router must break its own callers' streams, and no others, and a broken stream
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -18,12 +18,12 @@
 	StepPerRequestMS     float64 // added for each running request
 	StepPer1KContextMS   float64 // added for each 1,000 tokens of running requests
 	PrefillTokensPerMS   float64 // prefill speed
-	PrefillChunkTokens   int     // most prompt tokens read in one step
+	PrefillChunkTokens   int     // maximum number of prompt tokens read in one step
 	EventTokens          int     // output tokens in one event of a stream
 	FetchTokensPerMS     float64 // speed of fetching cached tokens from another engine
 	FetchSetupMS         float64 // added for each fetch
 	RequestSetupMS       float64 // delay before a prompt is read, whatever its size
-	AttentionMSPerMPairs float64 // attention: for a million pairs of a token read and a token before it
+	AttentionMSPerMPairs float64 // attention: added per million pairs of a prompt token and a token before it
 }
 
 // DefaultConfig is that of engines that read 39 prompt tokens a millisecond.
--- a/internal/process/acceptdelay_test.go
+++ b/internal/process/acceptdelay_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Waiting reports an unread datagram without consuming it.
+// HasUnread reports an unread datagram without consuming it.
 func TestHasUnreadReportsUnreadDatagram(t *testing.T) {
 	s, err := conn.NewSealer("a-secret-for-tests-only", "route")
 	require.NoError(t, err)
--- a/internal/process/admission.go
+++ b/internal/process/admission.go
@@ -27,7 +27,7 @@
 	rc.admitRatios.Store(&ratios)
 }
 
-// Covered implements forward.Control. Without a published ratio all requests are admitted.
+// AdmitRatio implements forward.Control. Without a published ratio all requests are admitted.
 func (rc *RoutedController) AdmitRatio(service, org string) float64 {
 	ratios := rc.admitRatios.Load()
 	if ratios == nil {
--- a/internal/process/appcontroller.go
+++ b/internal/process/appcontroller.go
@@ -242,5 +242,5 @@
 	})
 }
 
-// Leaving implements request.Control.
+// UpstreamLeaving implements request.Control.
 func (ac *AppController) UpstreamLeaving(id version.ID) { ac.Step(core.Drain{Upstream: id}) }
--- a/internal/process/appdaemon.go
+++ b/internal/process/appdaemon.go
@@ -199,8 +199,8 @@
 
 func (d *AppDaemon) openRequests() int { return d.OpenRequests(openRequestsTimeout) }
 
-// Open returns the number of requests without an outcome, or 0 when the control goroutine
-// has ended or does not answer within wait.
+// OpenRequests returns the number of requests without an outcome, or 0 when the control
+// goroutine has ended or does not answer within wait.
 func (d *AppDaemon) OpenRequests(wait time.Duration) int {
 	n := make(chan int, 1)
 	go d.ctrl.enqueue(func(time.Time) { n <- len(d.ctrl.tickets) })
--- a/internal/process/forwardcontrol.go
+++ b/internal/process/forwardcontrol.go
@@ -11,7 +11,7 @@
 // The methods by which request handlers use the control state. Each may be called by any
 // goroutine.
 
-// Excess implements forward.Control.
+// ShedRatio implements forward.Control.
 func (rc *RoutedController) ShedRatio() float64 { return rc.overload.shedRatio() }
 
 // RequestShed implements forward.Control.
--- a/internal/process/platform.go
+++ b/internal/process/platform.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// watch polls a value while wanted returns true, and passes each new one to take.
+// watch polls a value while wanted returns true, and passes each new one to handle.
 func (p *Platform) watch(ctx context.Context, name string, wanted func() bool, handle func([]byte)) {
 	after := ""
 	pause := minPlatformRetryPause
--- a/internal/process/routedcontroller.go
+++ b/internal/process/routedcontroller.go
@@ -266,7 +266,8 @@
 	return nil
 }
 
-// Leave begins the planned stop: the router becomes unready and the node is told to leave.
+// Leave begins the planned stop: the router becomes unready, and the node announces to the
+// other routers that it leaves.
 func (rc *RoutedController) Leave() {
 	rc.leaving.Store(true)
 	rc.enqueue(func(now time.Time) {
@@ -275,8 +276,8 @@
 	})
 }
 
-// Open returns the number of requests without an outcome, or 0 when the control goroutine
-// has ended or does not answer in time.
+// OpenRequests returns the number of requests without an outcome, or 0 when the control
+// goroutine has ended or does not answer in time.
 func (rc *RoutedController) OpenRequests() int {
 	n, _ := query(&rc.controlLoop, openRequestsTimeout, func(time.Time) int { return len(rc.tickets) })
 	return n
--- a/internal/process/routeddaemon.go
+++ b/internal/process/routeddaemon.go
@@ -299,7 +299,7 @@
 	d.ctrl.Step(dispatch.UpdateSettings{Seeds: set.Seeds, Retry: set.Retry, Cold: set.Cold})
 }
 
-// Open returns the number of requests without an outcome.
+// OpenRequests returns the number of requests without an outcome.
 func (d *RoutedDaemon) OpenRequests(time.Duration) int { return d.ctrl.OpenRequests() }
 
 // close closes all listeners and connections at once.
--- a/internal/process/sentmetrics.go
+++ b/internal/process/sentmetrics.go
@@ -68,7 +68,8 @@
 	e.Int64("other_places_bytes", m.otherPlaces.Count()).Msg("control-sent")
 }
 
-// count counts a datagram of the given size. near means that its receiver is in this place.
+// count counts a datagram of the given size. samePlace means that its receiver is in this
+// router's place.
 func (m *sentMetrics) count(d *wire.Datagram, bytes int, samePlace bool) {
 	p := purposeOf(d)
 	m.bytes[p].Inc(int64(bytes))
--- a/internal/process/sourcewatcher.go
+++ b/internal/process/sourcewatcher.go
@@ -15,7 +15,7 @@
 const (
 	// sourceWatchTimeout is how long one watch waits for changes. It bounds how long a
 	// silently broken watch goes unnoticed and how old the fleet's store reading becomes;
-	// a longer timeout would save calls. sightEvery of internal/dispatch depends on it.
+	// a longer timeout would save calls. storeReadInterval of internal/dispatch depends on it.
 	sourceWatchTimeout = time.Second
 	// sourceBatchDelay is the pause after each answer, so that changes in quick succession
 	// cost one call. It is small compared with the 2 s within which routers must apply a
--- a/internal/request/forward/healthcheck.go
+++ b/internal/request/forward/healthcheck.go
@@ -31,7 +31,7 @@
 	// maxHealthBodyBytes bounds how much of a health answer is read so that its connection
 	// can be reused.
 	maxHealthBodyBytes = 16 << 10
-	// maxHealthChecks bounds the results kept, one for each upstream process.
+	// maxHealthChecks bounds the cached results, one for each upstream process.
 	maxHealthChecks = 8192
 )
 
@@ -56,7 +56,7 @@
 	dialect   Dialect
 	clock     *clock.Clock
 	mu        sync.Mutex
-	checks    map[string]*healthCheck // by routing.Instance.Start
+	checks    map[string]*healthCheck // by routing.Instance.StartID
 }
 
 func newHealthChecker(exchanges *conn.Exchanges, dialect Dialect, c *clock.Clock) *healthChecker {
@@ -118,7 +118,7 @@
 // go elsewhere.
 func (r *run) failsHealthCheck(p *dispatch.Placement) (elsewhere bool) {
 	if !p.CheckHealth || r.s.ctrl.Unusable(p) != MaySend {
-		return false // an unusable placement is withdrawn by Message.Wanted before sending
+		return false // an unusable placement is withdrawn by Message.StillWanted before sending
 	}
 	path := r.table.HealthPath(r.service)
 	if path == "" {
--- a/internal/request/forward/loadshedder_test.go
+++ b/internal/request/forward/loadshedder_test.go
@@ -38,9 +38,9 @@
 	assert.Greater(t, shed, 70)
 }
 
-// A router sent a placement request to its scheduler for each of 2,000 requests a second
-// from an organisation whose share covered 25, and read the replies too late. Requests beyond
-// the shares are shed first; if that is enough, nothing else is refused.
+// Guards against a router that sends its scheduler a placement request for each of 2,000
+// requests a second from an organisation whose share covers 25, and reads the replies too late.
+// Requests beyond the shares are shed first; if that is enough, nothing else is refused.
 func TestRequestsBeyondSharesAreShedFirst(t *testing.T) {
 	shedder := newLoadShedder()
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/request/outcome/outcome.go
+++ b/internal/request/outcome/outcome.go
@@ -63,8 +63,8 @@
 	return Failure{Kind: NotRun, Status: status, Reason: reason, Detail: detail}
 }
 
-// Refused returns the failure for a refusal by the control state. With doubt an earlier
-// attempt with the same key may have run, so the outcome is unknown.
+// Refused returns the failure for a refusal by the control state. If mayHaveRun is true, an
+// earlier attempt with the same key may have run, so the outcome is unknown.
 func Refused(reason entry.Reason, after time.Duration, mayHaveRun bool) Failure {
 	f := Failure{Kind: NotRun, Status: statusOf(reason), Reason: string(reason), Detail: refusalDetails[reason], RetryDelay: after}
 	if mayHaveRun {
--- a/internal/request/quarantine.go
+++ b/internal/request/quarantine.go
@@ -43,8 +43,8 @@
 // without quarantine, 30 tries crashed 60 upstreams.
 func (r *run) quarantinedFor() time.Duration { return r.crashes().Held(r.s.clock.Now()) }
 
-// refuseQuarantined ends a quarantined request. With doubt the outcome is unknown: an
-// earlier attempt may have run, or an earlier request with the same key.
+// refuseQuarantined ends a quarantined request. If mayHaveRun is true, the outcome is
+// unknown: an earlier attempt may have run, or an earlier request with the same key.
 func (r *run) refuseQuarantined(left time.Duration, mayHaveRun bool) {
 	r.s.failRequest(r.v, outcome.Refused(entry.ReasonCrashes, left, mayHaveRun))
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -42,7 +42,7 @@
 	Kind          Kind
 	Resumable     bool // a broken stream may be resumed after its last event
 	Public        bool // needs no API key
-	Affinity      bool // requests name the parts of their prompt, for prefix caches, for prefix caches
+	Affinity      bool // requests name the parts of their prompt, for prefix caches
 	Timeout       time.Duration
 	TargetLatency time.Duration // answers within this are on time; for streams: the first event
 	TargetGap     time.Duration // longest gap between events that is on time
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -43,7 +43,7 @@
 	"diff":            {"diff OLD-DIR NEW-DIR", "show who gains or loses what", diff},
 	"explain":         {"explain -place PLACE DIR ORGANISATION APPLICATION", "show where a request would go, or why it would be refused", explain},
 	"status":          {"status [-json] OPERATOR-URL...", "show the fleet as its routers see it", status},
-	"explain-request": {"explain-request ID [LOG...]", "tell the story of a request of the routed interface from routers' logs", explainRequest},
+	"explain-request": {"explain-request ID [LOG...]", "show the timeline of a request of the routed interface from routers' logs", explainRequest},
 	"load":            {"load -routers URL,... [flags]", "send streams of the routed interface at a rate, and show what callers see", load},
 	"call":            {"call [flags] CALLER-URL", "send one request and show its outcome", call},
 }
