--- a/internal/process/connlimiter_test.go
+++ b/internal/process/connlimiter_test.go
@@ -10,7 +10,8 @@
 )
 
 // Guards against running out of descriptors: callers that open a connection for each request
-// leave idle ones behind, and a router without free descriptors accepts nobody for seconds.
+// leave idle ones behind, and a router without free descriptors accepts no connection for
+// seconds.
 func TestLongestIdleConnectionIsClosedForANewOne(t *testing.T) {
 	c := newConnLimiter(reservedDescriptors + 10) // close hint above 3 connections, idle ones closed above 6
 	var ours, theirs []net.Conn
--- a/internal/process/overload_test.go
+++ b/internal/process/overload_test.go
@@ -9,7 +9,7 @@
 
 // Guards against an overload that scheduling lag alone does not show: a router with a fifth
 // of a core at a thousand requests per second used all of its CPU at a lag of one to three
-// milliseconds, and refused nobody.
+// milliseconds, and shed nothing.
 func TestHighCPUUseShedsLoadBeforeLagGrows(t *testing.T) {
 	d := overloadDetector{cores: 0.192}
 	const calm = 200 * time.Microsecond
--- a/internal/process/sourcewatcher.go
+++ b/internal/process/sourcewatcher.go
@@ -27,7 +27,7 @@
 	minSourceRetryPause = 100 * time.Millisecond
 	maxSourceRetryPause = 400 * time.Millisecond
 	// sourceRetryPausePerRouter is multiplied by the number of routers to give the maximum
-	// pause of routers that read the source only because no watcher could lately: all of
+	// pause of routers that read the source only because no watcher could recently: all of
 	// them together make 40 attempts a second in a fleet of any size.
 	sourceRetryPausePerRouter = 25 * time.Millisecond
 	// watchRoleCheckInterval is how often a router that does not watch checks whether it should.
