--- a/cmd/bench/tokens.go
+++ b/cmd/bench/tokens.go
@@ -16,18 +16,18 @@
 // ablation is the router with one mechanism left out.
 type ablation struct {
 	name    string
-	without dispatch.Without
+	without dispatch.Disabled
 }
 
 var ablations = []ablation{
-	{"all", dispatch.Without{}},
-	{"without shares", dispatch.Without{Shares: true}},
-	{"without refusals for the wait", dispatch.Without{Refusals: true}},
-	{"without knowledge of kept parts", dispatch.Without{Parts: true}},
-	{"without fetching kept parts", dispatch.Without{Fetch: true}},
-	{"without a scheduler, each router alone", dispatch.Without{Scheduler: true}},
-	{"without preferring kept connections", dispatch.Without{ConnReuse: true}},
-	{"without learning the engines' times", dispatch.Without{Learning: true}},
+	{"all", dispatch.Disabled{}},
+	{"without shares", dispatch.Disabled{Shares: true}},
+	{"without refusals for the wait", dispatch.Disabled{Refusals: true}},
+	{"without knowledge of kept parts", dispatch.Disabled{Parts: true}},
+	{"without fetching kept parts", dispatch.Disabled{Fetch: true}},
+	{"without a scheduler, each router alone", dispatch.Disabled{Scheduler: true}},
+	{"without preferring kept connections", dispatch.Disabled{ConnReuse: true}},
+	{"without learning the engines' times", dispatch.Disabled{Learning: true}},
 }
 
 // tokenTable prints the table of the routed interface: for each scenario, the results with
@@ -47,7 +47,7 @@
 		for j, a := range ablations {
 			work = append(work, func() {
 				s := scenarios[name]
-				s.Without = a.without
+				s.Disabled = a.without
 				rows[i*len(ablations)+j] = tokenLine(name, a.name, s, seeds)
 			})
 		}
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -59,7 +59,7 @@
 
 // Node is the control state of one router. One goroutine owns it.
 type Node struct {
-	set        Settings
+	settings   Settings
 	ver        *version.Version
 	members    *member.Table
 	entry      *entry.Entry
@@ -98,16 +98,19 @@
 	Woke, Stale, SameRevision, Takeovers uint64
 }
 
+// hostedPool is a pool of which this node is the scheduler.
 type hostedPool struct {
 	*sched.Pool
 	lastReport time.Time
 }
 
+// pendingProposal is a request that waits for the votes of its key's witnesses.
 type pendingProposal struct {
 	proposal *claim.Proposal
 	req      entry.Request
 }
 
+// drain is what is known of an upstream that is leaving.
 type drain struct {
 	learnedAt  time.Time // when this node first learned of it
 	renewedAt  time.Time
@@ -116,13 +119,13 @@
 }
 
 // New returns a node that knows no other routers but its seeds.
-func New(set Settings, now time.Time) *Node {
-	rnd := rand.New(rand.NewPCG(set.Seed, uint64(set.Inc)))
-	self := wire.Update{ID: set.ID, Inc: set.Inc, Place: set.Place, Public: set.Public}
+func New(settings Settings, now time.Time) *Node {
+	rnd := rand.New(rand.NewPCG(settings.Seed, uint64(settings.Inc)))
+	self := wire.Update{ID: settings.ID, Inc: settings.Inc, Place: settings.Place, Public: settings.Public}
 	n := &Node{
-		set:        set,
-		members:    member.New(self, set.Seeds, now, rnd),
-		entry:      entry.New(set.Place, now),
+		settings:   settings,
+		members:    member.New(self, settings.Seeds, now, rnd),
+		entry:      entry.New(settings.Place, now),
 		led:        ledger.New(),
 		witness:    claim.NewWitness(now),
 		pools:      map[version.ID]*hostedPool{},
@@ -130,7 +133,7 @@
 		proposals:  map[uint64]*pendingProposal{},
 		heldClaims: map[uint64]*claim.Proposal{},
 		drains:     map[version.ID]*drain{},
-		crashes:    quarantine.NewTracker(set.ID),
+		crashes:    quarantine.NewTracker(settings.ID),
 		rejected:   map[version.Number]bool{},
 		started:    now,
 		lastTick:   now,
@@ -170,8 +173,8 @@
 		n.markDrain(in.Upstream, drain{firstHand: true, persistent: in.Persistent}, now)
 	case Undrain:
 		n.clearDrain(in.Upstream)
-	case Broke:
-		n.broke(in, now)
+	case AttemptIncomplete:
+		n.attemptIncomplete(in, now)
 	case ConnRefused:
 		n.connRefused(in.Upstream, now)
 	case Answered:
@@ -193,7 +196,7 @@
 	n.tickProposals(now)
 	n.expireDrains(now)
 	n.tickPools(now)
-	n.outbox.SendCrashes(n.members.Live(true), n.set.ID, n.crashes.Tick(now))
+	n.outbox.SendCrashes(n.members.Live(true), n.settings.ID, n.crashes.Tick(now))
 	if now.Sub(n.lastLedger) >= ledgerInterval {
 		n.lastLedger = now
 		n.sendLedger()
@@ -324,7 +327,7 @@
 	n.schedulers.clear()
 	n.copyPools()
 	for _, id := range n.members.Live(true) {
-		if id != n.set.ID {
+		if id != n.settings.ID {
 			n.outbox.To(id)
 		}
 	}
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -19,7 +19,7 @@
 	f := newFleet(t, 1, 2)
 	id := f.order[0]
 	f.nodes[id].Step(Catalogue{Table: table(t, 60_000), Instances: instances(2), Revision: 6, AsOf: 10}, f.now)
-	asked, refused := map[string]int{}, map[string]int{}
+	requested, refused := map[string]int{}, map[string]int{}
 	free := map[string]time.Time{}
 	type event struct {
 		at time.Time
@@ -31,7 +31,7 @@
 		if no%8 == 0 {
 			org = "small"
 		}
-		asked[org]++
+		requested[org]++
 		f.arrive(id, no, engines, org, 4000)
 		switch o := f.got[id][no].(type) {
 		case Placement:
@@ -39,9 +39,9 @@
 			if free[o.Instance.ID].After(begun) {
 				begun = free[o.Instance.ID]
 			}
-			free[o.Instance.ID] = begun.Add(time.Duration(o.ReadTokens/30) * time.Millisecond)
+			free[o.Instance.ID] = begun.Add(time.Duration(o.PrefillTokens/30) * time.Millisecond)
 			at := free[o.Instance.ID].Add(20 * time.Millisecond)
-			events = append(events, event{at, []Input{First{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.ProgressDone}}})
+			events = append(events, event{at, []Input{FirstEvent{ID: no, After: at.Sub(f.now)}, End{ID: no, Event: wire.ProgressDone}}})
 		case Refuse:
 			refused[org]++
 			assert.Positive(t, o.After)
@@ -56,8 +56,8 @@
 			}
 		}
 	}
-	part := func(org string) float64 { return float64(refused[org]) / float64(asked[org]) }
-	assert.Less(t, part("small"), 0.3, "%v of %v", refused, asked)
+	part := func(org string) float64 { return float64(refused[org]) / float64(requested[org]) }
+	assert.Less(t, part("small"), 0.3, "%v of %v", refused, requested)
 	assert.Greater(t, part("large"), 0.4)
 }
 
@@ -69,11 +69,11 @@
 	m.addGrant(1, 500, start)
 	m.addGrant(2, 1750, start)
 	m.addGrant(3, 3500, start)
-	assert.LessOrEqual(t, m.over(1, start), 1.0)
-	assert.InDelta(t, 1.0, m.over(2, start), 0.001)
-	assert.InDelta(t, 2.0, m.over(3, start), 0.001)
+	assert.LessOrEqual(t, m.usedShare(1, start), 1.0)
+	assert.InDelta(t, 1.0, m.usedShare(2, start), 0.001)
+	assert.InDelta(t, 2.0, m.usedShare(3, start), 0.001)
 	later := start.Add(5 * time.Second)
-	assert.Zero(t, m.over(3, later), "the window is over")
+	assert.Zero(t, m.usedShare(3, later), "the window is over")
 }
 
 // A long wait accepted for a route with a lenient target would delay requests of routes
@@ -90,7 +90,7 @@
 	p := newPool(tab.Services["s"], 0)
 	a := &wire.PlacementRequest{TargetMS: 1000, DeadlineMS: 4000}
 	patient := p.waitLimit(a, &choice{}, 0)
-	p.aim = strictestTargetMS(tab, "s")
+	p.targetMS = strictestTargetMS(tab, "s")
 	assert.InDelta(t, 0.6*patient, p.waitLimit(a, &choice{}, 0), 1)
 }
 
@@ -104,7 +104,7 @@
 	for no := uint64(2); no < 40; no++ {
 		f.arrive(id, no, engines, "b", 4000)
 	}
-	f.nodes[id].Step(Again{ID: 1, Event: wire.ProgressFailed}, f.now)
+	f.nodes[id].Step(PlaceAgain{ID: 1, Event: wire.ProgressFailed}, f.now)
 	f.deliver()
 	f.placed(id, 1)
 	f.arrive(id, 50, engines, "a", 500)
@@ -123,7 +123,7 @@
 	for _, got := range []int{300, 800, 1600, 3200} {
 		p.meter.usageOf(1).got = [shareSteps]float64{}
 		p.meter.addGrant(1, float64(got), start)
-		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.over(1, start))
+		limits[got] = p.waitLimit(&wire.PlacementRequest{Org: 1, TargetMS: 600, DeadlineMS: 6000}, &choice{}, p.meter.usedShare(1, start))
 	}
 	assert.Greater(t, limits[300], limits[800])
 	assert.Greater(t, limits[800], 1.5*limits[1600])
@@ -166,7 +166,7 @@
 	p.meter.addRequest(version.IDOf("other"), 390_000*4, f.now)
 	p.meter.addRequest(version.IDOf("flood"), 390_000*40, f.now)
 	p.meter.addGrant(version.IDOf("flood"), 390_000*20, f.now)
-	require.Greater(t, p.meter.over(version.IDOf("flood"), f.now), 5.0)
+	require.Greater(t, p.meter.usedShare(version.IDOf("flood"), f.now), 5.0)
 	f.nodes[id].place = version.IDOf("elsewhere") // where the router keeps no connection either
 	f.arrive(id, 1, engines, "flood", 3000)
 	f.placed(id, 1)
--- a/internal/dispatch/learnedmodel_test.go
+++ b/internal/dispatch/learnedmodel_test.go
@@ -20,20 +20,20 @@
 		f.arrive(id, no, engines, "a", input)
 		after := 50*time.Millisecond + time.Duration(input)*10*time.Microsecond // 100 tokens a millisecond
 		f.run(after.Round(TickInterval))
-		f.nodes[id].Step(First{ID: no, After: after}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: after}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 	}
 	f.run(time.Second)
 	learned := f.nodes[id].pools[serviceID(engines)].learner.Model()
 	assert.InDelta(t, 0.01, learned.PerToken+2000*learned.PerPair/1e6, 0.004)
 	f.cut[id] = true
-	heir := f.other()
-	f.arrive(heir, 100, engines, "a", 500)
+	peer := f.other()
+	f.arrive(peer, 100, engines, "a", 500)
 	f.run(minPlacementTimeout + 2*TickInterval)
-	assert.InDelta(t, learned.Base+5, f.placed(heir, 100).PrefillMS, 8)
-	assert.NotEqual(t, id, f.nodes[heir].schedulerOf(serviceID(engines), f.now))
-	told := f.nodes[f.nodes[heir].schedulerOf(serviceID(engines), f.now)].pools[serviceID(engines)].learner.Model()
-	assert.InDelta(t, learned.Base, told.Base, 0.1)
+	assert.InDelta(t, learned.Base+5, f.placed(peer, 100).PrefillMS, 8)
+	assert.NotEqual(t, id, f.nodes[peer].schedulerOf(serviceID(engines), f.now))
+	inherited := f.nodes[f.nodes[peer].schedulerOf(serviceID(engines), f.now)].pools[serviceID(engines)].learner.Model()
+	assert.InDelta(t, learned.Base, inherited.Base, 0.1)
 }
 
 // A router that has just started may become the scheduler at once: it learns the engines'
@@ -41,10 +41,10 @@
 func TestRestartedSchedulerInheritsEngineModel(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	id := f.scheduler()
-	heir := f.other()
+	peer := f.other()
 	learned := prefill.Model{Base: 200, PerToken: 0.005, PerPair: 0.1, PerFetched: 0.001}
-	f.nodes[heir].pools[serviceID(engines)].learner.Inherit(learned, 500)
-	n := New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{heir}, Retry: DefaultRetryRules}, f.now)
+	f.nodes[peer].pools[serviceID(engines)].learner.Inherit(learned, 500)
+	n := New(Settings{ID: id, Inc: 2, Place: "p", Seeds: []wire.NodeID{peer}, Retry: DefaultRetryRules}, f.now)
 	n.Step(Catalogue{Table: table(t, 390_000), Instances: instances(2), Revision: 5, AsOf: 9}, f.now)
 	f.nodes[id] = n
 	f.run(2 * heartbeatInterval)
@@ -65,7 +65,7 @@
 		f.placed(id, no)
 	}
 	p := f.nodes[id].pools[serviceID(engines)]
-	assert.Zero(t, p.meter.over(version.IDOf("a"), f.now))
+	assert.Zero(t, p.meter.usedShare(version.IDOf("a"), f.now))
 	f.nodes[id].Step(Arrive{Request: Request{ID: 50, Service: engines, Org: "a", Input: 1 << 30, Output: 1 << 30, Deadline: f.now}}, f.now)
 	f.deliver()
 	_, refused := f.got[id][50].(Refuse)
@@ -80,7 +80,7 @@
 	learner := f.nodes[id].pools[serviceID(engines)].learner
 	for no := uint64(1); no <= 60; no++ {
 		f.arrive(id, no, engines, "a", 100)
-		f.nodes[id].Step(First{ID: no, After: map[bool]time.Duration{true: time.Hour, false: -time.Hour}[no%2 == 0]}, f.now)
+		f.nodes[id].Step(FirstEvent{ID: no, After: map[bool]time.Duration{true: time.Hour, false: -time.Hour}[no%2 == 0]}, f.now)
 		f.nodes[id].Step(End{ID: no, Event: wire.ProgressDone}, f.now)
 		f.run(3 * time.Second)
 	}
--- a/internal/dispatch/localdecision.go
+++ b/internal/dispatch/localdecision.go
@@ -22,16 +22,16 @@
 }
 
 // usageSum is in tokens as counted by Cost.
-type usageSum struct{ wanted, placed float64 }
+type usageSum struct{ requested, placed float64 }
 
-func (s usageSum) plus(wanted, placed float64) usageSum {
-	return usageSum{s.wanted + wanted, s.placed + placed}
+func (s usageSum) plus(requested, placed float64) usageSum {
+	return usageSum{s.requested + requested, s.placed + placed}
 }
 
 func newLocalUsage() localUsage { return localUsage{sums: map[serviceOrg]usageSum{}} }
 
-func (u *localUsage) add(k serviceOrg, wanted, placed float64) {
-	u.sums[k] = u.sums[k].plus(wanted, placed)
+func (u *localUsage) add(k serviceOrg, requested, placed float64) {
+	u.sums[k] = u.sums[k].plus(requested, placed)
 }
 
 // handleShedWork counts requests that were shed.
@@ -39,7 +39,7 @@
 	for _, t := range in.Work {
 		k := serviceOrg{serviceID(t.Service), version.IDOf(t.Org)}
 		if p := n.pools[k.service]; p != nil {
-			p.here.addRequest(k.org, t.Tokens, now)
+			p.local.addRequest(k.org, t.Tokens, now)
 		}
 		n.unreportedUsage.add(k, t.Tokens, 0)
 		n.reports.addShed(k, t.Tokens)
@@ -53,16 +53,16 @@
 		return false // the service has no shares, or this router counts them itself
 	}
 	tokens := Cost(int(a.Input), int(a.Output))
-	wanted := 0.0
+	requested := 0.0
 	if a.Try <= 1 {
-		wanted = tokens
+		requested = tokens
 	}
-	got := 0.0
+	granted := 0.0
 	if placed {
-		got = tokens
+		granted = tokens
 	}
 	k := serviceOrg{p.id, a.Org}
-	n.unreportedUsage.add(k, wanted, got)
+	n.unreportedUsage.add(k, requested, granted)
 	n.reports.addDecision(k, tokens, placed)
 	if placed {
 		n.Counts.OwnPlaced++
@@ -83,7 +83,7 @@
 		if p == nil || p.engine == nil {
 			continue
 		}
-		u := wire.LocalUsage{Service: k.service, Org: k.org, Requested: int64(s.wanted), Placed: int64(s.placed)}
+		u := wire.LocalUsage{Service: k.service, Org: k.org, Requested: int64(s.requested), Placed: int64(s.placed)}
 		to := n.schedulerOf(p.id, now)
 		if to == n.settings.ID {
 			n.handleLocalUsage(n.settings.ID, u, now)
--- a/internal/dispatch/recordedusage.go
+++ b/internal/dispatch/recordedusage.go
@@ -26,16 +26,16 @@
 	return recordedUsage{sums: map[version.ID]usageSum{}, known: map[wire.NodeID]map[version.ID]usageSum{}}
 }
 
-func (b *recordedUsage) add(org version.ID, wanted, placed float64) {
-	b.sums[org] = b.sums[org].plus(wanted, placed)
+func (b *recordedUsage) add(org version.ID, requested, placed float64) {
+	b.sums[org] = b.sums[org].plus(requested, placed)
 }
 
 // addKnown records that a router already knows of this usage, because it reported it.
-func (b *recordedUsage) addKnown(from wire.NodeID, org version.ID, wanted, placed float64) {
+func (b *recordedUsage) addKnown(from wire.NodeID, org version.ID, requested, placed float64) {
 	if b.known[from] == nil {
 		b.known[from] = map[version.ID]usageSum{}
 	}
-	b.known[from][org] = b.known[from][org].plus(wanted, placed)
+	b.known[from][org] = b.known[from][org].plus(requested, placed)
 }
 
 // unknownTo returns the usage that a router does not know yet.
@@ -43,7 +43,7 @@
 	var out []wire.LocalUsage
 	for org, s := range b.sums {
 		known := b.known[to][org]
-		row := wire.LocalUsage{Service: service, Org: org, Requested: int64(s.wanted - known.wanted), Placed: int64(s.placed - known.placed)}
+		row := wire.LocalUsage{Service: service, Org: org, Requested: int64(s.requested - known.requested), Placed: int64(s.placed - known.placed)}
 		if row.Requested != 0 || row.Placed != 0 {
 			out = append(out, row)
 		}
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -31,10 +31,10 @@
 	dirty         bool
 }
 
-// orgUsage is the tokens of one organisation by step: requested, granted, refused because
-// of the wait while it was under its share, and started by an engine. started is used for
+// orgUsage is the tokens of one organisation by step: requested, granted (got), refused
+// because of the wait while it was under its share, and started by an engine. started is used for
 // logging only.
-type orgUsage struct{ asked, got, refusedUnderShare, started [shareSteps]float64 }
+type orgUsage struct{ requested, got, refusedUnderShare, started [shareSteps]float64 }
 
 func newMeter(tokensPerSecond float64) *meter {
 	m := &meter{
@@ -66,8 +66,8 @@
 // window.
 func (m *meter) clearStep(i int) {
 	for id, u := range m.orgs {
-		u.asked[i], u.got[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
-		if windowTotal(&u.asked) == 0 {
+		u.requested[i], u.got[i], u.refusedUnderShare[i], u.started[i] = 0, 0, 0, 0
+		if windowTotal(&u.requested) == 0 {
 			delete(m.orgs, id)
 		}
 	}
@@ -91,7 +91,7 @@
 // addRequest counts requested tokens.
 func (m *meter) addRequest(org version.ID, tokens float64, now time.Time) {
 	i := m.advance(now)
-	m.usageOf(org).asked[i] += tokens
+	m.usageOf(org).requested[i] += tokens
 	m.recordedUsage.add(org, tokens, 0)
 }
 
@@ -131,10 +131,10 @@
 	}
 }
 
-// over returns how much of its share an organisation has used: the tokens granted to it as
+// usedShare returns how much of its share an organisation has used: the tokens granted to it as
 // a ratio of its max-min share of the capacity. Below 1 it is under its share, from 1 on it
 // is over.
-func (m *meter) over(org version.ID, now time.Time) float64 {
+func (m *meter) usedShare(org version.ID, now time.Time) float64 {
 	m.updateShares(now)
 	share := m.shares[org]
 	if share <= 0 {
@@ -153,7 +153,7 @@
 func (m *meter) demands() []demand {
 	out := make([]demand, 0, len(m.orgs))
 	for id, u := range m.orgs {
-		out = append(out, demand{id, windowTotal(&u.asked)})
+		out = append(out, demand{id, windowTotal(&u.requested)})
 	}
 	sort.Slice(out, func(i, j int) bool {
 		if out[i].tokens != out[j].tokens {
--- a/internal/dispatch/sharecoverage.go
+++ b/internal/dispatch/sharecoverage.go
@@ -34,7 +34,7 @@
 		if p.engine == nil {
 			continue
 		}
-		for org := range p.here.orgs {
+		for org := range p.local.orgs {
 			if ratio := n.localCoverage(p, org, now); ratio < 1 {
 				out = append(out, ShareCoverage{Service: p.service, Org: n.reports.orgNames[org], Ratio: ratio})
 			}
@@ -45,8 +45,8 @@
 
 // localCoverage is the ratio of an organisation's requests that is admitted here.
 func (n *Node) localCoverage(p *pool, org version.ID, now time.Time) float64 {
-	here := p.here.at(org, now)
-	placed := coverageFactor * windowTotal(&here.got) / max(1, windowTotal(&here.asked))
+	local := p.local.at(org, now)
+	placed := coverageFactor * windowTotal(&local.got) / max(1, windowTotal(&local.requested))
 	if n.schedulerOf(p.id, now) == n.settings.ID {
 		return max(placed, p.meter.coverageByShare(org, now))
 	}
@@ -56,7 +56,7 @@
 // coverageFromUpdate is the ratio that the share covers, by the scheduler's latest update.
 func (n *Node) coverageFromUpdate(p *pool, org version.ID, now time.Time) float64 {
 	w := n.shareUpdates.received[serviceOrg{p.id, org}]
-	if w.at.IsZero() || n.localOver(p, org, now) < 1 {
+	if w.at.IsZero() || n.localUsedShare(p, org, now) < 1 {
 		return 1
 	}
 	return coverageFactor * float64(w.Share) / max(1, float64(w.Requested))
@@ -69,5 +69,5 @@
 	if share <= 0 || windowTotal(&u.got) < share {
 		return 1
 	}
-	return coverageFactor * share / max(1, windowTotal(&u.asked))
+	return coverageFactor * share / max(1, windowTotal(&u.requested))
 }
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -194,8 +194,8 @@
 	if id == n.settings.ID {
 		return n.store.isUnreachable(now)
 	}
-	at, told := n.store.unreachable[id]
-	return told && now.Sub(at) < storeUnreachableTTL
+	at, reported := n.store.unreachable[id]
+	return reported && now.Sub(at) < storeUnreachableTTL
 }
 
 // handleStoreUnreachable records whether a router reports the store unreachable.
@@ -254,12 +254,12 @@
 		n.out = append(n.out, ApplyDelta{From: from, Delta: d})
 		return
 	}
-	n.noteNewerContent(from, newerContent{revision: d.To}, now)
+	n.recordNewerContent(from, newerContent{revision: d.To}, now)
 }
 
-// noteNewerContent records whether a peer has a later change of the store's content, or a
+// recordNewerContent records whether a peer has a later change of the store's content, or a
 // newer table, than this router.
-func (n *Node) noteNewerContent(from wire.NodeID, theirs newerContent, now time.Time) {
+func (n *Node) recordNewerContent(from wire.NodeID, theirs newerContent, now time.Time) {
 	if theirs.revision == 0 || n.hasContent(theirs) {
 		delete(n.newerContent, from)
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -18,12 +18,12 @@
 	StepPerRequestMS     float64 // added for each running request
 	StepPer1KContextMS   float64 // added for each 1,000 tokens of running requests
 	PrefillTokensPerMS   float64 // prefill speed
-	PrefillChunkTokens   int     // most prompt tokens read in one step
+	PrefillChunkTokens   int     // maximum number of prompt tokens read in one step
 	EventTokens          int     // output tokens in one event of a stream
 	FetchTokensPerMS     float64 // speed of fetching cached tokens from another engine
 	FetchSetupMS         float64 // added for each fetch
 	RequestSetupMS       float64 // delay before a prompt is read, whatever its size
-	AttentionMSPerMPairs float64 // attention: for a million pairs of a token read and a token before it
+	AttentionMSPerMPairs float64 // attention: added per million pairs of a prompt token and a token before it
 }
 
 // DefaultConfig is that of engines that read 39 prompt tokens a millisecond.
@@ -60,9 +60,9 @@
 
 // The kinds of events.
 const (
-	First EventKind = iota // the first event of the request's stream
-	More                   // a further event of the stream
-	Done                   // the request ended, with the last event of its stream
+	FirstEvent EventKind = iota // the first event of the request's stream
+	More                        // a further event of the stream
+	Done                        // the request ended, with the last event of its stream
 )
 
 // Engine is a simulated engine. It must be used by one goroutine at a time.
@@ -263,7 +263,7 @@
 		x.decoded++
 		switch {
 		case x.decoded == 1: // the first token is an event of its own
-			out = append(out, Event{x.req.ID, e.now, First})
+			out = append(out, Event{x.req.ID, e.now, FirstEvent})
 		case (x.decoded-1)%e.cfg.EventTokens == 0 && x.decoded < x.req.Output:
 			out = append(out, Event{x.req.ID, e.now, More})
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -37,7 +37,7 @@
 	Router   Router
 	Up       bool
 	Frozen   bool
-	Since    time.Time
+	Since    time.Time // when it was booted
 	jobs     map[uint64]*Job
 	nextID   uint64
 	deferred []func() // inputs that arrived while the host is frozen
@@ -84,14 +84,14 @@
 // defaultProgressInterval is the time between a router's reports of generated tokens.
 const defaultProgressInterval = 200 * time.Millisecond
 
-// New returns a world at a fixed time. Its routers are made by mk, or are core nodes if mk
-// is nil.
-func New(v *version.Version, seed uint64, mk func(core.Settings, time.Time) Router) *World {
-	if mk == nil {
-		mk = func(s core.Settings, now time.Time) Router { return core.New(s, now) }
+// New returns a world at a fixed time. Its routers are made by newRouter, or are core nodes
+// if newRouter is nil.
+func New(v *version.Version, seed uint64, newRouter func(core.Settings, time.Time) Router) *World {
+	if newRouter == nil {
+		newRouter = func(s core.Settings, now time.Time) Router { return core.New(s, now) }
 	}
 	return &World{
-		Now: time.Unix(1_800_000_000, 0), Version: v, NewRouter: mk,
+		Now: time.Unix(1_800_000_000, 0), Version: v, NewRouter: newRouter,
 		Hosts: map[wire.NodeID]*Host{}, Link: Link{Delay: time.Millisecond, Jitter: time.Millisecond},
 		TokenInterval: 75 * time.Millisecond, FirstTokenDelay: 300 * time.Millisecond,
 		SentBytes: map[wire.NodeID]int64{}, ServedTokens: map[version.ID]float64{}, AnsweredRequests: map[version.ID]float64{},
@@ -203,7 +203,7 @@
 		case core.Start:
 			w.start(h.jobs[o.ID], o.Upstream)
 		case core.Refuse:
-			w.end(h.jobs[o.ID], func(j *Job) { j.Refused, j.Doubt = o.Reason, o.Doubt })
+			w.end(h.jobs[o.ID], func(j *Job) { j.Refused, j.MayHaveRun = o.Reason, o.MayHaveRun })
 		case core.Fetch:
 			w.fetchVersion(h, o)
 		case core.Event:
--- a/internal/lab/tokens/tokens_test.go
+++ b/internal/lab/tokens/tokens_test.go
@@ -60,7 +60,7 @@
 	t.Parallel()
 	s := Standard(shortRun)["flood"]
 	with := runScenario(t, s)
-	s.Without = dispatch.Without{Shares: true}
+	s.Disabled = dispatch.Disabled{Shares: true}
 	without := runScenario(t, s)
 	assert.Greater(t, with.Owed, without.Owed)
 	assert.Greater(t, with.Least, without.Least)
--- a/internal/process/quarantine.go
+++ b/internal/process/quarantine.go
@@ -40,8 +40,8 @@
 	return rc.quarantined.forOrg(version.IDOf(org))
 }
 
-// Broke implements forward.Control.
-func (rc *RoutedController) Broke(b dispatch.Broke) { rc.Step(b) }
+// AttemptIncomplete implements forward.Control.
+func (rc *RoutedController) AttemptIncomplete(b dispatch.AttemptIncomplete) { rc.Step(b) }
 
 // ConnRefused implements forward.Control.
 func (rc *RoutedController) ConnRefused(i routing.Instance) {
@@ -66,8 +66,8 @@
 	return ac.quarantined.forOrg(org)
 }
 
-// Broke implements request.Control.
-func (ac *AppController) Broke(b core.Broke) { ac.Step(b) }
+// AttemptIncomplete implements request.Control.
+func (ac *AppController) AttemptIncomplete(b core.AttemptIncomplete) { ac.Step(b) }
 
 // ConnRefused implements request.Control.
 func (ac *AppController) ConnRefused(up version.ID) { ac.Step(core.ConnRefused{Upstream: up}) }
--- a/internal/process/sourcewatcher.go
+++ b/internal/process/sourcewatcher.go
@@ -15,7 +15,7 @@
 const (
 	// sourceWatchTimeout is how long one watch waits for changes. It bounds how long a
 	// silently broken watch goes unnoticed and how old the fleet's store reading becomes;
-	// a longer timeout would save calls. sightEvery of internal/dispatch depends on it.
+	// a longer timeout would save calls. storeReadInterval of internal/dispatch depends on it.
 	sourceWatchTimeout = time.Second
 	// sourceBatchDelay is the pause after each answer, so that changes in quick succession
 	// cost one call. It is small compared with the 2 s within which routers must apply a
@@ -27,7 +27,7 @@
 	minSourceRetryPause = 100 * time.Millisecond
 	maxSourceRetryPause = 400 * time.Millisecond
 	// sourceRetryPausePerRouter is multiplied by the number of routers to give the maximum
-	// pause of routers that read the source only because no watcher could lately: all of
+	// pause of routers that read the source only because no watcher could recently: all of
 	// them together make 40 attempts a second in a fleet of any size.
 	sourceRetryPausePerRouter = 25 * time.Millisecond
 	// watchRoleCheckInterval is how often a router that does not watch checks whether it should.
--- a/internal/request/forward/harness_test.go
+++ b/internal/request/forward/harness_test.go
@@ -56,15 +56,15 @@
 	leftInstances map[string]bool // instances that have left
 
 	quarantinedRequests map[fingerprint.Fingerprint]quarantine.State
-	broke               []dispatch.Broke
+	incompleteAttempts  []dispatch.AttemptIncomplete
 	refusedConnections  []string // instances that refused connections
 	answeredWhole       []fingerprint.Fingerprint
-	onAgain             func() // called before another placement is made; may be nil
-	looked              []failedHealthCheck
+	onPlaceAgain        func() // called before another placement is made; may be nil
+	failedHealthChecks  []failedHealthCheck
 	backoffs            []reportedBackoff
 	leavingStarts       []string // starts of upstreams that announced that they are leaving
 	healthCheckFirst    bool     // placements require a health check
-	neverPlaceAgain     bool     // Again gets no decision
+	neverPlaceAgain     bool     // PlaceAgain gets no decision
 }
 
 func (c *fakeControl) Table() *routing.Table { return c.table }
@@ -86,13 +86,13 @@
 	return MaySend
 }
 
-func (c *fakeControl) Looked(i routing.Instance, coldFor time.Duration) {
+func (c *fakeControl) HealthCheckFailed(i routing.Instance, coldFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = append(c.looked, failedHealthCheck{i.ID, coldFor})
+	c.failedHealthChecks = append(c.failedHealthChecks, failedHealthCheck{i.ID, coldFor})
 }
 
-func (c *fakeControl) UpstreamLeaves(start string) {
+func (c *fakeControl) UpstreamLeaving(start string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leavingStarts = append(c.leavingStarts, start)
@@ -110,10 +110,10 @@
 	return c.quarantinedRequests
 }
 
-func (c *fakeControl) Broke(b dispatch.Broke) {
+func (c *fakeControl) AttemptIncomplete(b dispatch.AttemptIncomplete) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broke = append(c.broke, b)
+	c.incompleteAttempts = append(c.incompleteAttempts, b)
 }
 
 func (c *fakeControl) ConnRefused(i routing.Instance) {
@@ -152,17 +152,17 @@
 	t.Decide(Decision{Placement: &dispatch.Placement{ID: t.ID, Instance: i, CheckHealth: c.healthCheckFirst}})
 }
 
-func (c *fakeControl) Again(t *Ticket, note uint8) {
+func (c *fakeControl) PlaceAgain(t *Ticket, note uint8) {
 	c.note(note)
-	if c.onAgain != nil {
-		c.onAgain()
+	if c.onPlaceAgain != nil {
+		c.onPlaceAgain()
 	}
 	if !c.neverPlaceAgain {
 		c.decide(t)
 	}
 }
 
-func (c *fakeControl) First(*Ticket, time.Duration) {}
+func (c *fakeControl) FirstEvent(*Ticket, time.Duration) {}
 
 func (c *fakeControl) End(_ *Ticket, note uint8) { c.note(note) }
 
@@ -289,17 +289,17 @@
 
 func newHarnessWithLimit(t *testing.T, maxRequests int, upstreams ...string) *harness {
 	t.Helper()
-	r := &harness{control: &fakeControl{table: testTable(t), upstreams: upstreams}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
-	r.server = NewServer(r.control, r.exchanges, testDialect, testKey(t), Limits{MaxRequests: r.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
-	s := httptest.NewServer(r.server)
-	t.Cleanup(func() { s.Close(); r.exchanges.Close() })
-	r.url = s.URL
-	return r
+	h := &harness{control: &fakeControl{table: testTable(t), upstreams: upstreams}, exchanges: conn.NewExchanges(), maxRequests: maxRequests}
+	h.server = NewServer(h.control, h.exchanges, testDialect, testKey(t), Limits{MaxRequests: h.maxRequests, MaxAnswerBytes: 1 << 20}, metrics.NewRegistry(), zerolog.Nop())
+	s := httptest.NewServer(h.server)
+	t.Cleanup(func() { s.Close(); h.exchanges.Close() })
+	h.url = s.URL
+	return h
 }
 
-func (r *harness) do(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
+func (h *harness) do(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
-	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, h.url+path, strings.NewReader(body))
 	require.NoError(t, err)
 	req.Host = "h.example"
 	req.Header.Set("Authorization", "Bearer key-a")
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -52,11 +52,11 @@
 		}
 		r.s.clock.Refresh() // the lease may have expired during a suspension not yet noticed
 		if r.s.clock.Since(d.At) > maxDecisionAge {
-			r.s.ctl.Return(r.ticket, false)
+			r.s.ctrl.Return(r.ticket, false)
 			continue
 		}
 		if left := r.quarantinedFor(); left > 0 {
-			r.s.ctl.Cancel(r.ticket)
+			r.s.ctrl.Cancel(r.ticket)
 			r.refuseQuarantined(left, r.mayHaveRun)
 			return
 		}
@@ -77,7 +77,7 @@
 	}
 	if d.Upstream == nil {
 		span.SetAttributes(attribute.String("refused", string(d.Refusal.Reason)))
-		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.Doubt))
+		r.s.failRequest(r.v, outcome.Refused(d.Refusal.Reason, d.Refusal.RetryAfter, d.Refusal.MayHaveRun))
 		return d, false
 	}
 	_, grant := r.s.tracer.Start(r.ctx, "grant", trace.WithTimestamp(d.At), trace.WithAttributes(attribute.String("upstream", d.Upstream.Name)))
@@ -88,7 +88,7 @@
 // abandon ends a request whose caller went away while it waited. A slot that was granted at
 // the same moment is returned unused.
 func (r *run) abandon() {
-	r.s.ctl.Cancel(r.ticket)
+	r.s.ctrl.Cancel(r.ticket)
 	r.s.count.outcome(outcome.NotRun, outcome.ReasonCanceled)
 }
 
@@ -105,12 +105,12 @@
 	defer stop()
 	res := relay.Send(ctx, r.s.upstreams, u, id, r.call)
 	if res.UpstreamLeaving {
-		r.s.ctl.UpstreamLeaving(u.ID)
+		r.s.ctrl.UpstreamLeaving(u.ID)
 	}
 	switch res.State {
 	case relay.Replied:
-		p := &answer{run: r, upstream: u, attempt: id, res: res, ctx: ctx, stop: stop, began: time.Now()}
-		return p.deliver()
+		a := &answer{run: r, upstream: u, attempt: id, res: res, ctx: ctx, stop: stop, began: time.Now()}
+		return a.deliver()
 	case relay.NotSent, relay.NotStarted:
 		r.reportRefusedConnection(u, res.Err)
 		span.SetAttributes(attribute.Bool("not_run", true))
@@ -126,7 +126,7 @@
 // instead.
 func (r *run) retry(failed bool) bool {
 	if r.attempts < maxAttempts && r.ctx.Err() == nil {
-		r.s.ctl.Return(r.ticket, failed)
+		r.s.ctrl.Return(r.ticket, failed)
 		return false
 	}
 	r.finish(wire.Sample{Failed: 1}, false)
@@ -145,7 +145,7 @@
 	}
 	if !gone && r.app.Idempotent && r.attempts < maxAttempts && r.ctx.Err() == nil && r.s.budget.take() {
 		r.s.count.retried.Inc(1)
-		r.s.ctl.Return(r.ticket, true)
+		r.s.ctrl.Return(r.ticket, true)
 		return false
 	}
 	r.finish(wire.Sample{Failed: 1}, false)
@@ -163,7 +163,7 @@
 
 // finish releases the slot. An answered request adds to the retry budget.
 func (r *run) finish(s wire.Sample, answered bool) {
-	r.s.ctl.Finish(r.ticket, s, answered)
+	r.s.ctrl.Finish(r.ticket, s, answered)
 	if answered {
 		r.s.budget.earn()
 	}
